--- a/headspar/snapshot/__init__.py
+++ b/headspar/snapshot/__init__.py
@@ -1,6 +1,7 @@
-"""What a node has learned, kept on a disk that lasts, for the process that comes after a kill or a power cut.
+"""Persists a node's learned state on durable storage, so that a process started after a kill or power loss resumes.
 
-``ages`` owns how fast each input of a decision goes bad and what is taken of a snapshot by whose it is and how old;
-``form`` its bytes; both without I/O.  ``store`` is its folder, ``writer`` the thread that writes.  Off unless the
-operator's file names a folder; never on the platform, which has no disk that lasts.
+``ages`` defines how fast each field of the state expires and how much of a snapshot is restored, depending on its
+origin and age; ``form`` is the file format.  Neither does I/O.  ``store`` manages the directory and ``writer`` runs
+the writing thread.  Snapshots are off unless the operator's file names a folder, and they are never used on the
+platform, which has no durable disk.
 """
--- a/headspar/snapshot/ages.py
+++ b/headspar/snapshot/ages.py
@@ -1,8 +1,9 @@
-"""How long each input of a decision holds, and what is taken of a snapshot: one table, without I/O or clock.
+"""Expiry of learned state: how much of each field is restored from a snapshot.  Pure functions; no I/O, no clock.
 
-A snapshot is evidence beside what a new process would begin with, never in its place: each field loses weight with
-its age, by halves, and is capped, so that the worst of them (another machine's, yesterday's, made up) moves no
-decision for longer than ``BOUND_US``.  What goes bad in seconds is not kept at all.
+A snapshot adds evidence to the defaults of a new process; it never replaces them.  The weight of each field decays
+exponentially with age and is capped, so that even a wrong snapshot (from another machine, a day old, or corrupted
+but well-formed) affects no decision for longer than ``RECOVERY_BOUND_US``.  Fields that expire within seconds are
+not restored at all.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 from headspar.interface import Experience, ServerExperience
 
 MINUTE, HOUR, DAY = 60.0, 3600.0, 86_400.0
-LEAST = 0.1  # weight under which a field is not taken
-BACK_S = 5.0  # clocks of one machine agree to that; what is from further ahead has no age that can be told
-UNKNOWN_S = DAY  # the age of what has none
-KIND_REQUESTS = 30.0  # answers that a kind of machine's speed may weigh at most
-SERVER_REQUESTS = 5.0  # and one server's own
-CLASS_COUNT = 60.0  # answers that a class's latency may weigh at most
-RATIO = 3.0  # seen over expected latency, either way
-SLOPE = 20.0  # of latency over work
-BASE = 2.0  # of a class's wanted time
-ILL = 0.4  # health under which a server is suspect
-ILL_SHARE = 0.5  # of the servers: who finds more of them ill is ill itself, or was
-BOUND_US = 2_000_000  # within which nothing is left of a wrong snapshot but what answers have not contradicted
+MIN_WEIGHT = 0.1  # fields with a lower weight are not restored
+MAX_CLOCK_SKEW_S = 5.0  # the clock of one machine stays within this; a later timestamp gives no usable age
+UNKNOWN_AGE_S = DAY  # age assumed for a snapshot whose timestamp is in the future
+MAX_KIND_SAMPLES = 30.0  # restored speed of a machine kind weighs at most this many answers
+MAX_SERVER_SAMPLES = 5.0  # restored speed of one server weighs at most this many answers
+MAX_CLASS_SAMPLES = 60.0  # restored latency of a class weighs at most this many answers
+MAX_LATENCY_RATIO = 3.0  # observed over expected latency, and the inverse
+MAX_LATENCY_SLOPE = 20.0  # latency per unit of work
+MAX_BASE_AIMS = 2.0  # base latency of a class, in multiples of its aim
+UNHEALTHY_BELOW = 0.4  # health under which a server counts as unhealthy
+MAX_UNHEALTHY_SHARE = 0.5  # if more servers look unhealthy, the node that observed them is the likelier cause
+RECOVERY_BOUND_US = 2_000_000  # after this, a wrong snapshot has no effect beyond what answers have not yet corrected
 
 
 class Whose(Enum):
-    """Whose a snapshot is, as its reader sees it."""
+    """Origin of a snapshot relative to the node that reads it."""
 
     OWN = "this node's"
     NODE = "another node's of this site"
@@ -44,45 +45,50 @@
 
 @dataclass(frozen=True)
 class Field:
-    """``half_s``: its weight halves in so long; 0: it is not kept.  ``of``: whose is taken."""
+    """Expiry of one field of the learned state.
+
+    ``source`` and ``fallback`` tell operators where the value comes from and what applies when it is not restored.
+    ``half_life_s``: seconds in which its weight halves; 0: never restored.  ``origins``: those it is restored from.
+    """
 
     name: str
-    author: str
-    half_s: float
-    to: str
-    of: frozenset[Whose]
+    source: str
+    half_life_s: float
+    fallback: str
+    origins: frozenset[Whose]
 
 
-EVERY = frozenset(Whose)
+ALL_ORIGINS = frozenset(Whose)
 FIELDS: dict[str, Field] = {f.name: f for f in (
-    Field("capacity", "K, its horizon and rates: answers' lateness under this node's load", 20.0,
-          "learned anew, from the first answers on", frozenset((OWN,))),
-    Field("health", "how a server's attempts ended", 30.0, "sound", frozenset((OWN,))),
-    Field("speed", "one server's answers beside those expected", 10 * MINUTE, "its kind's", frozenset((OWN, NODE))),
-    Field("limits", "connects that a server refused", 30.0, "none known", frozenset((OWN,))),
-    Field("kinds", "answers of one kind of machine", 6 * HOUR, "as expected", EVERY),
-    Field("classes", "answers of one class", 6 * HOUR, "a tenth of the wanted time, and the hint",
+    Field("capacity", "K, its horizon and rates: lateness of answers under this node's load", 20.0,
+          "learned from the first answers on", frozenset((OWN,))),
+    Field("health", "outcomes of a server's attempts", 30.0, "healthy", frozenset((OWN,))),
+    Field("speed", "a server's latencies compared with those expected", 10 * MINUTE, "that of its kind",
+          frozenset((OWN, NODE))),
+    Field("limits", "connects that a server refused", 30.0, "no limit known", frozenset((OWN,))),
+    Field("kinds", "latencies of one kind of machine", 6 * HOUR, "as expected", ALL_ORIGINS),
+    Field("classes", "latencies of one class", 6 * HOUR, "a tenth of the aim, and the hint",
           frozenset((OWN, NODE))),
-    Field("work", "hints of typical requests, the costliest class seen", DAY, "the module's own guesses",
+    Field("work", "hints of typical requests, the costliest class seen", DAY, "built-in estimates",
           frozenset((OWN, NODE, SITE))),
-    Field("idle", "how reuse of connections ended, what an answer takes", 2 * DAY, "the time that settings tell",
+    Field("idle", "results of connection reuse, duration of an answer", 2 * DAY, "the idle time of the settings",
           frozenset((OWN, NODE, SITE))),
-    Field("shares", "requests by class", 0.0, "counted anew within a second", frozenset()),
+    Field("shares", "requests by class", 0.0, "counted again within a second", frozenset()),
     Field("tenants", "tokens of the last two seconds", 0.0, "full", frozenset()),
-    Field("retries", "what was admitted", 0.0, "a new node's", frozenset()),
-    Field("outstanding", "attempts under way", 0.0, "none: they ended with the process", frozenset()),
-    Field("peers", "peers' words", 0.0, "none heard; they are 3 s old at most", frozenset()),
-    Field("list", "discovery", HOUR, "the configuration's; what drains in it is not revived by its age",
+    Field("retries", "retries that were admitted", 0.0, "the budget of a new node", frozenset()),
+    Field("outstanding", "attempts in flight", 0.0, "none: they ended with the process", frozenset()),
+    Field("peers", "reports of peers", 0.0, "none received; reports are at most 3 s old", frozenset()),
+    Field("list", "discovery", HOUR, "the list of the configuration; age does not revive a draining server",
           frozenset((OWN, NODE))),
 )}
-CAPACITY = ("k", "linger_us", "rate", "work_rate", "served_rate", "steady", "sent_rate")
-WORK = ("typical_work", "typical_own")
+CAPACITY_KEYS = ("k", "linger_us", "rate", "work_rate", "served_rate", "steady", "sent_rate")
+WORK_KEYS = ("typical_work", "typical_own")
 
 
 @dataclass(frozen=True)
 class Header:
-    """Where a snapshot comes from.  ``wall_us``: when it was made, Unix time; ``offset_us``: what turned its node's
-    clock into that."""
+    """Origin of a snapshot.  ``wall_us``: Unix time of its creation; ``offset_us``: the writing node's monotonic
+    clock minus Unix time."""
 
     name: str
     site: str
@@ -93,19 +99,20 @@
 
 @dataclass(frozen=True)
 class Here:
-    """Who reads it, and when."""
+    """The node that reads a snapshot, and the time of the read (same units as ``Header``)."""
 
     name: str
     site: str
     settings: str
     wall_us: int
     offset_us: int
-    aims_us: Mapping[str, float]  # wanted times by class
+    aims_us: Mapping[str, float]  # latency targets by class
 
 
 @dataclass
 class Taken:
-    """What is taken: beliefs as a hand-over would bring them, and each field's weight with what is said of it."""
+    """The restored part of a snapshot: state in the form of a hand-over, the weight of each field, and notes on
+    rejected values."""
 
     beliefs: Beliefs
     whose: Whose
@@ -114,7 +121,8 @@
     notes: list[str] = field(default_factory=list)
 
 
-def whose(header: Header, here: Here) -> Whose:
+def origin_of(header: Header, here: Here) -> Whose:
+    """Classify a snapshot's origin; differing settings take precedence over differing sites and names."""
     if header.settings != here.settings:
         return SETTINGS
     if header.site != here.site:
@@ -123,21 +131,21 @@
 
 
 def weight(name: str, of: Whose, age_s: float) -> float:
-    """0 to 1; 0 where it is not taken."""
+    """Weight of a field, 0 to 1; 0 if it is not restored."""
     f = FIELDS[name]
-    if not f.half_s or of not in f.of:
+    if not f.half_life_s or of not in f.origins:
         return 0.0
-    share = 0.5 ** (age_s / f.half_s)
-    return share if share >= LEAST else 0.0
+    share = 0.5 ** (age_s / f.half_life_s)
+    return share if share >= MIN_WEIGHT else 0.0
 
 
 def take(header: Header, beliefs: Beliefs, here: Here) -> Taken:
-    """What a process that begins now may take of it."""
-    of, age_s = whose(header, here), (here.wall_us - header.wall_us) / 1e6
-    out = Taken(beliefs, of, max(0.0, age_s) if age_s >= -BACK_S else None)
-    age = UNKNOWN_S if out.age_s is None else out.age_s
+    """Restore what a process that starts now may use of a snapshot."""
+    of, age_s = origin_of(header, here), (here.wall_us - header.wall_us) / 1e6
+    out = Taken(beliefs, of, max(0.0, age_s) if age_s >= -MAX_CLOCK_SKEW_S else None)
+    age = UNKNOWN_AGE_S if out.age_s is None else out.age_s
     if out.age_s is None:
-        out.notes.append(f"made {-age_s:.0f} s from now: its age can't be told")
+        out.notes.append(f"timestamp is {-age_s:.0f} s in the future: its age can't be told")
     w = out.weights = {name: weight(name, of, age) for name in FIELDS}
     x = beliefs.experience
     experience = Experience(
@@ -157,24 +165,25 @@
 
 
 def _capacity(raw: Mapping[str, float], w: Mapping[str, float]) -> dict[str, float]:
-    """Without what was proven: a process that is young in this learns upward at once."""
-    names = (*(CAPACITY if w["capacity"] >= 0.5 else ()), *(WORK if w["work"] else ()))
+    """Omit the key ``proven``: without it, a new process may raise its estimate at once."""
+    names = (*(CAPACITY_KEYS if w["capacity"] >= 0.5 else ()), *(WORK_KEYS if w["work"] else ()))
     return {name: raw[name] for name in names if name in raw}
 
 
-def _capped(seen: float, expected: float, w: float, most: float) -> tuple[float, float]:
-    """Two sums with less weight, at most so much, and a ratio that can be."""
+def _capped(seen: float, expected: float, w: float, maximum: float) -> tuple[float, float]:
+    """Scale the observed and expected latency sums by ``w``, limit them to ``maximum`` and clamp their ratio."""
     if expected <= 0.0 or w <= 0.0:
         return 0.0, 0.0
-    ratio = min(RATIO, max(1.0 / RATIO, seen / expected))
-    expected = min(most, expected * w)
+    ratio = min(MAX_LATENCY_RATIO, max(1.0 / MAX_LATENCY_RATIO, seen / expected))
+    expected = min(maximum, expected * w)
     return ratio * expected, expected
 
 
 def _kinds(raw: Mapping[str, list[float]], w: float, own: float) -> dict[str, list[float]]:
     if not w:
         return {}
-    return {kind: list(_capped(seen, expected, w, KIND_REQUESTS * own)) for kind, (seen, expected) in raw.items()}
+    return {kind: list(_capped(seen, expected, w, MAX_KIND_SAMPLES * own))
+            for kind, (seen, expected) in raw.items()}
 
 
 def _classes(raw: Mapping[str, list[float]], w: float, aims: Mapping[str, float], notes: list[str],
@@ -185,26 +194,27 @@
         if not w or aim is None:
             continue
         count, m_lat, m_cost, v_cost, cov, base, slope = row
-        if base > BASE * aim or slope > SLOPE or cov > SLOPE * v_cost or m_lat > 4 * BASE * aim:
-            notes.append(f"class {name}: a latency that can't be")
+        if (base > MAX_BASE_AIMS * aim or slope > MAX_LATENCY_SLOPE or cov > MAX_LATENCY_SLOPE * v_cost
+                or m_lat > 4 * MAX_BASE_AIMS * aim):
+            notes.append(f"class {name}: implausible latency")
             continue
-        out[name] = [float(int(min(CLASS_COUNT, count * w))), m_lat, m_cost, v_cost, cov, base, slope]
+        out[name] = [float(int(min(MAX_CLASS_SAMPLES, count * w))), m_lat, m_cost, v_cost, cov, base, slope]
     return out
 
 
-def _servers(raw: list[ServerExperience], w: Mapping[str, float], moved_us: int, own: float, notes: list[str],
+def _servers(raw: list[ServerExperience], w: Mapping[str, float], clock_shift_us: int, own: float, notes: list[str],
              ) -> list[ServerExperience]:
-    """``moved_us``: what this clock is ahead of the one that the times in it are of."""
+    """``clock_shift_us``: this node's clock minus the clock of the snapshot's timestamps."""
     if not w["health"] and not w["speed"]:
         return []
     out = []
     for s in raw:
-        seen, expected = _capped(s.seen, s.expected, w["speed"], SERVER_REQUESTS * own)
+        seen, expected = _capped(s.seen, s.expected, w["speed"], MAX_SERVER_SAMPLES * own)
         health = 1.0 - (1.0 - s.health) * w["health"]
-        started = s.started_at_us + moved_us if s.started_at_us else 0
+        started = s.started_at_us + clock_shift_us if s.started_at_us else 0
         out.append(ServerExperience(s.id, started, health, seen, expected, 0.0, -1, 0, 1_000_000))
-    ill = sum(s.health < ILL for s in out)
-    if out and ill > ILL_SHARE * len(out):
-        notes.append(f"{ill} of {len(out)} servers ill: not believed")
+    unhealthy = sum(s.health < UNHEALTHY_BELOW for s in out)
+    if out and unhealthy > MAX_UNHEALTHY_SHARE * len(out):
+        notes.append(f"{unhealthy} of {len(out)} servers unhealthy: health not restored")
         return [replace(s, health=1.0) for s in out]
     return out
--- a/headspar/snapshot/cli.py
+++ b/headspar/snapshot/cli.py
@@ -1,7 +1,6 @@
-"""``headspar state``: a node's snapshots, for people.
+"""``headspar state``: commands that inspect and delete a node's snapshots.
 
-Exit status: 0 shown or done; 1 nothing there that can be used; 2 an option or the folder is no good (one line says
-which).
+Exit status: 0 success; 1 no usable snapshot; 2 invalid option or folder, named in one line on standard error.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from headspar.snapshot.form import Snapshot
 from headspar.snapshot.store import Store
 
-app = typer.Typer(no_args_is_help=True, help="What a node has learned, as it lies on its disk.")
+app = typer.Typer(no_args_is_help=True, help="Inspect the learned state that a node keeps on its disk.")
 FolderArgument = Annotated[Path, typer.Argument(help="The folder of [snapshot] in the operator's file.")]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print it as one line of JSON.")]
 
@@ -34,17 +33,17 @@
 
 
 def _newest(folder: Path) -> Snapshot:
-    newest, wrong = _store(folder).newest()
+    newest, errors = _store(folder).newest()
     if newest is None:
-        raise stop(f"{folder}: {'; '.join(wrong) or 'nothing is kept there'}", 1)
+        raise stop(f"{folder}: {'; '.join(errors) or 'no snapshot found'}", 1)
     return newest
 
 
 @app.command()
 def show(folder: FolderArgument, as_json: JsonOption = False) -> None:
-    """What lies there: both files, whose they are and how old."""
+    """List both snapshot files with their origin and age."""
     rows: list[dict[str, Any]] = []
-    for name, found in _store(folder).each():
+    for name, found in _store(folder).read_all():
         if isinstance(found, str):
             rows.append({"file": name, "wrong": found})
             continue
@@ -61,18 +60,18 @@
                   f"number {row['serial']}, of {row['name']} in {row['site']}, {row['age_s']} s old, "
                   f"{row['servers']} servers"))
     if not any("serial" in row for row in rows):
-        raise stop(f"{folder}: nothing there that can be used", 1)
+        raise stop(f"{folder}: no usable snapshot", 1)
 
 
 @app.command()
 def check(
     folder: FolderArgument,
-    name: Annotated[str, typer.Option("--name", help="The node that would read it; the one that wrote it.")] = "",
-    site: Annotated[str, typer.Option("--site", help="Its site.")] = "",
-    settings: Annotated[str, typer.Option("--settings", help="The digest of its settings.")] = "",
+    name: Annotated[str, typer.Option("--name", help="Name of the reading node; default: the writer's.")] = "",
+    site: Annotated[str, typer.Option("--site", help="Site of the reading node.")] = "",
+    settings: Annotated[str, typer.Option("--settings", help="Digest of the reading node's settings.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """What a node would take of it now, field by field."""
+    """Show, field by field, how much a node would restore from the newest snapshot now."""
     newest = _newest(folder)
     h, aims = newest.header, {cls: 1e12 for cls in newest.beliefs.experience.classes}
     here = Here(name or h.name, site or h.site, settings or h.settings, time.time_ns() // 1000, h.offset_us, aims)
@@ -81,12 +80,12 @@
         sys.stdout.write(json.dumps({
             "whose": taken.whose.value, "age_s": taken.age_s, "weights": taken.weights, "notes": taken.notes}) + "\n")
         return
-    age = "of no known age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
+    age = "of unknown age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
     table = Table(box=None, header_style="bold", title=f"{taken.whose.value}, {age}", title_justify="left")
-    for title in ("field", "weight", "from", "else"):
+    for title in ("field", "weight", "source", "fallback"):
         table.add_column(title)
     for field, weight in taken.weights.items():
-        table.add_row(field, f"{weight:.2f}" if weight else "-", FIELDS[field].author, FIELDS[field].to)
+        table.add_row(field, f"{weight:.2f}" if weight else "-", FIELDS[field].source, FIELDS[field].fallback)
     Console().print(table)
     for note in taken.notes:
         print(note)
@@ -96,7 +95,7 @@
 def export(
     folder: FolderArgument, out: Annotated[Path, typer.Option("--out", help="The file to write (JSON).")],
 ) -> None:
-    """The newest one as JSON, for people to read: no node reads it again."""
+    """Write the newest snapshot as JSON, for inspection only: nodes can't import it."""
     writable(out)
     newest = _newest(folder)
     try:
@@ -108,16 +107,16 @@
 @app.command()
 def forget(
     folder: FolderArgument,
-    yes: Annotated[bool, typer.Option("--yes", help="Do it; without it, say what would be.")] = False,
+    yes: Annotated[bool, typer.Option("--yes", help="Delete; without it, only show what would be deleted.")] = False,
 ) -> None:
-    """Take it away: the next start begins with nothing.  Not while a node keeps its state there."""
+    """Delete the snapshots, so that the next start restores nothing.  Refused while a node writes to the folder."""
     store = _store(folder)
     if not yes:
-        raise stop(f"{folder}: {len(store.each())} files would be taken away; --yes does it", 0)
+        raise stop(f"{folder}: {len(store.read_all())} files would be deleted; --yes does it", 0)
     try:
         if not store.claim():
-            raise stop(f"{folder}: a node keeps its state there; stop it first", 1)
-        print(f"{store.forget()} files taken away")
+            raise stop(f"{folder}: in use by a running node; stop it first", 1)
+        print(f"{store.delete_all()} files deleted")
     except OSError as error:
         raise stop(f"{folder}: {error.strerror}", 2) from None
     finally:
--- a/headspar/snapshot/form.py
+++ b/headspar/snapshot/form.py
@@ -1,4 +1,4 @@
-"""A snapshot's bytes: one line that says what it is and of which bytes, then those, compressed; without I/O."""
+"""File format of a snapshot: a checksummed JSON header line, then the zlib-compressed state.  No I/O."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 MAGIC = "headspar snapshot"
 VERSION = 1
-MOST_HEAD = 4096
-LEVEL = 1
+MAX_HEADER_BYTES = 4096
+COMPRESSION_LEVEL = 1  # of zlib
 
 
-class FormError(ValueError):
-    """Bytes that are no snapshot, or none that this version can read; the text is one plain line."""
+class FormatError(ValueError):
+    """The bytes are not a snapshot, or not one that this version can read.  The text is a single line."""
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """``serial`` orders those of one folder."""
+    """A decoded snapshot; ``serial`` increases with each one written to a folder."""
 
     serial: int
     header: Header
@@ -33,13 +33,14 @@
 
 
 def encode(header: Header, serial: int, beliefs: Beliefs) -> bytes:
-    """Empty where the beliefs are larger than may be."""
+    """Encode a snapshot; returns no bytes if the state exceeds the size limit."""
     body = encode_beliefs(beliefs)
     return pack(header, serial, body) if body else b""
 
 
 def pack(header: Header, serial: int, body: bytes) -> bytes:
-    packed = zlib.compress(body, LEVEL)
+    """Frame an encoded state: SHA-256 of the header line, the header line, the compressed body."""
+    packed = zlib.compress(body, COMPRESSION_LEVEL)
     line = {"is": MAGIC, "v": VERSION, "least": VERSION, "serial": serial, "bytes": len(packed),
             "sha256": hashlib.sha256(packed).hexdigest(), **asdict(header)}
     text = json.dumps(line, sort_keys=True)
@@ -47,28 +48,28 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """``FormError`` unless every byte of it is as it was written."""
+    """Decode a snapshot; ``FormatError`` unless both checksums match."""
     head, newline, packed = data.partition(b"\n")
-    if not newline or len(head) > MOST_HEAD:
-        raise FormError("no snapshot" if data else "empty")
+    if not newline or len(head) > MAX_HEADER_BYTES:
+        raise FormatError("not a snapshot" if data else "empty")
     digest, _, text = head.partition(b" ")
     if digest != hashlib.sha256(text).hexdigest().encode():
-        raise FormError("torn, or changed by hand")
+        raise FormatError("truncated or modified")
     try:
         raw: Any = json.loads(text)
         if raw["is"] != MAGIC:
-            raise FormError("no snapshot")
+            raise FormatError("not a snapshot")
         if raw["least"] > VERSION:
-            raise FormError(f"version {raw['v']}, for {raw['least']} and later")
+            raise FormatError(f"format version {raw['v']} needs a reader of version {raw['least']} or later")
         if len(packed) != raw["bytes"] or hashlib.sha256(packed).hexdigest() != raw["sha256"]:
-            raise FormError("torn, or changed by hand")
+            raise FormatError("truncated or modified")
         header = Header(str(raw["name"]), str(raw["site"]), str(raw["settings"]), int(raw["wall_us"]),
                         int(raw["offset_us"]))
         body = zlib.decompressobj().decompress(packed, MOST_BYTES + 1)
         return Snapshot(int(raw["serial"]), header, decode_beliefs(body))
     except BeliefsError as error:
-        raise FormError(str(error)) from None
+        raise FormatError(str(error)) from None
     except (KeyError, TypeError, ValueError, OverflowError, zlib.error) as error:
-        if isinstance(error, FormError):
+        if isinstance(error, FormatError):
             raise
-        raise FormError(f"of another form: {error}"[:200]) from None
+        raise FormatError(f"unexpected content: {error}"[:200]) from None
--- a/headspar/snapshot/keeping.py
+++ b/headspar/snapshot/keeping.py
@@ -1,4 +1,4 @@
-"""A node's process and its snapshots: what is found at a start, what is kept meanwhile, the last one at its end."""
+"""Snapshots over the life of a node process: restore at startup, periodic writes, a final write at shutdown."""
 
 from __future__ import annotations
 
@@ -16,11 +16,15 @@
 if TYPE_CHECKING:
     from headspar.node.core import Node
 
-LAST_S = 0.3  # that the end of a process waits for its disk
+FINAL_WRITE_TIMEOUT_S = 0.3  # shutdown waits no longer than this for the disk
 
 
 class Keeping:
-    """``offset_us``: the node's clock less Unix time; ``settings``: their digest."""
+    """Snapshot schedule of one process.
+
+    ``every_s``: write interval; ``settings``: digest of the node's settings; ``offset_us``: the node's monotonic
+    clock minus Unix time.
+    """
 
     def __init__(self, folder: Path, every_s: float, name: str, node: Node, settings: str, offset_us: int) -> None:
         self.every_s, self.name, self.node, self.settings, self.offset_us = every_s, name, node, settings, offset_us
@@ -29,9 +33,9 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def found(self) -> Taken | None:
-        """What the newest snapshot may bring to this start; said in the log."""
-        newest, wrong = self.store.newest()
-        for text in wrong:
+        """Read the newest snapshot and log what is restored from it; ``None`` if there is no usable one."""
+        newest, errors = self.store.newest()
+        for text in errors:
             self.node.log(f"snapshot: {self.store.folder}: {text}")
         if newest is None:
             return None
@@ -40,33 +44,33 @@
         here = Here(self.name, settings.zone, self.settings, time.time_ns() // 1000, self.offset_us,
                     {c.name: float(c.aim_us) for c in settings.classes})
         taken = take(newest.header, newest.beliefs, here)
-        age = "of no known age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
+        age = "of unknown age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
         fields = ", ".join(name for name, weight in taken.weights.items() if weight) or "nothing"
         self.node.log(f"snapshot: {taken.whose.value}, {age}; taken: {fields}"
                       + "".join(f"; {note}" for note in taken.notes + newest.beliefs.left))
         return taken
 
     def begin(self) -> None:
-        """Keep on from here; not all nodes of a machine at the same times."""
-        self.timer = self.node.loop.call_later(self.every_s * (0.5 + random.random()), self._keep)
+        """Start periodic writes.  The first delay is random, so that the nodes of a machine don't write in step."""
+        self.timer = self.node.loop.call_later(self.every_s * (0.5 + random.random()), self._write_periodically)
 
-    def _keep(self) -> None:
+    def _write_periodically(self) -> None:
         self.put()
         self.writer.turn()
-        self.timer = self.node.loop.call_later(self.every_s, self._keep)
+        self.timer = self.node.loop.call_later(self.every_s, self._write_periodically)
 
     def put(self) -> None:
-        """Hand over what is believed now."""
+        """Pass the current learned state to the writer."""
         node = self.node
         header = Header(self.name, node.settings.zone, self.settings, time.time_ns() // 1000, self.offset_us)
         self.writer.put(header, Beliefs(node.discovery.known(), node.balancer.experience(),
                                         node.backends.plan.learned()))
 
     def end(self) -> None:
-        """The process ends: the last one, if the disk is quick."""
+        """Write a final snapshot at shutdown, within ``FINAL_WRITE_TIMEOUT_S``, and release the folder."""
         if self.timer is not None:
             self.timer.cancel()
         self.put()
-        self.writer.end(LAST_S)
+        self.writer.end(FINAL_WRITE_TIMEOUT_S)
         self.writer.turn()
         self.store.release()
--- a/headspar/snapshot/store.py
+++ b/headspar/snapshot/store.py
@@ -1,4 +1,4 @@
-"""The folder of one node's snapshots: two files in turn, each written whole or not at all, and one that writes."""
+"""Snapshot folder of one node: two files written alternately, each replaced atomically, by a single locked writer."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from headspar.failpoints import failpoint
-from headspar.snapshot.form import FormError, Snapshot, decode
+from headspar.snapshot.form import FormatError, Snapshot, decode
 
 NAMES = ("snapshot-0", "snapshot-1")
-MOST_BYTES = 8 << 20  # of a file that is looked at
+MAX_READ_BYTES = 8 << 20  # of one file
 
 
 class Store:
@@ -21,11 +21,11 @@
         self.folder = folder
         self.lock_fd = -1
 
-    # ------------------------------------------------------------ who writes
+    # ------------------------------------------------------------ lock
 
     def claim(self) -> bool:
-        """Whether this process writes here from now on; not while another one of the same name does: a second process
-        of an upgrade, or a clone.  ``OSError`` where there can be no folder."""
+        """Take the write lock without waiting.  Returns False while another process of the same name holds it: the
+        other process of an upgrade, or a clone.  ``OSError`` if the folder can't be created."""
         if self.lock_fd >= 0:
             return True
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -48,32 +48,32 @@
 
     # ------------------------------------------------------------ reading
 
-    def each(self) -> list[tuple[str, Snapshot | str]]:
-        """Both files: what they hold, or in a few words what is wrong; those that are not there left out."""
+    def read_all(self) -> list[tuple[str, Snapshot | str]]:
+        """Read both files: name and snapshot, or name and error text; missing files are left out."""
         out: list[tuple[str, Snapshot | str]] = []
         for name in NAMES:
             try:
                 with (self.folder / name).open("rb") as file:
-                    out.append((name, decode(file.read(MOST_BYTES))))
+                    out.append((name, decode(file.read(MAX_READ_BYTES))))
             except FileNotFoundError:
                 continue
             except OSError as error:
-                out.append((name, error.strerror or "can't be read"))
-            except FormError as error:
+                out.append((name, error.strerror or "read failed"))
+            except FormatError as error:
                 out.append((name, str(error)))
         return out
 
     def newest(self) -> tuple[Snapshot | None, list[str]]:
-        """The newest whole one, and what is wrong with others."""
-        rows = self.each()
-        wrong = [f"{name}: {found}" for name, found in rows if isinstance(found, str)]
-        sound = [found for _, found in rows if isinstance(found, Snapshot)]
-        return max(sound, key=lambda s: s.serial, default=None), wrong
+        """The newest valid snapshot, and the errors of the other files."""
+        rows = self.read_all()
+        errors = [f"{name}: {found}" for name, found in rows if isinstance(found, str)]
+        valid = [found for _, found in rows if isinstance(found, Snapshot)]
+        return max(valid, key=lambda s: s.serial, default=None), errors
 
     # ------------------------------------------------------------ writing
 
     def write(self, data: bytes, serial: int) -> None:
-        """In place of the older file; ``OSError`` if it is not on the disk, with both files as they were."""
+        """Replace the older file atomically and sync it.  On ``OSError`` each file still holds a whole snapshot."""
         path = self.folder / NAMES[serial % len(NAMES)]
         new = path.with_name(path.name + ".new")
         failpoint("snapshot.open")
@@ -97,12 +97,12 @@
             os.close(folder)
         failpoint("snapshot.done")
 
-    def forget(self) -> int:
-        """Take away all that is kept; how many files.  ``OSError`` if one can't be."""
-        gone = 0
+    def delete_all(self) -> int:
+        """Delete all snapshots and temporary files; returns their number.  ``OSError`` if one can't be deleted."""
+        deleted = 0
         for name in NAMES:
             for path in (self.folder / name, self.folder / f"{name}.new"):
                 with contextlib.suppress(FileNotFoundError):
                     path.unlink()
-                    gone += 1
-        return gone
+                    deleted += 1
+        return deleted
--- a/headspar/snapshot/writer.py
+++ b/headspar/snapshot/writer.py
@@ -1,7 +1,7 @@
-"""Writing beside the loop: one thread, a queue of one, and no more than one line in the log for each turn of events.
+"""Background writer: one thread, a queue of length one, and one log line for each change between success and failure.
 
-The loop hands over what is to be written and goes on; packing, checksum and disk are the thread's.  While a write
-hangs, newer ones take the waiting one's place.  Nothing of it is ever waited for, but the last at an orderly end.
+The event loop queues a snapshot and continues; the thread does encoding, checksums and I/O.  While a write hangs, a
+newer snapshot replaces the queued one.  Nothing waits for the writer except a graceful shutdown.
 """
 
 from __future__ import annotations
@@ -16,73 +16,75 @@
 
 
 class Writer:
-    """``say``: a line for the log, called in the loop's thread by ``turns``."""
+    """``log`` writes one line; ``turn`` calls it in the event loop's thread."""
 
-    def __init__(self, store: Store, say: Callable[[str], None]) -> None:
-        self.store, self.say = store, say
-        self.serial = 0  # of the last that was written, or found
-        self.written = self.failed = self.passed_over = 0
-        self.waiting: tuple[Header, Beliefs] | None = None
+    def __init__(self, store: Store, log: Callable[[str], None]) -> None:
+        self.store, self.log = store, log
+        self.serial = 0  # of the newest snapshot written or found
+        self.written = self.failed = self.superseded = 0
+        self.pending: tuple[Header, Beliefs] | None = None
         self.busy = False
-        self.ending = False
-        self.wrong = ""  # what the last write failed of
-        self.told = ""  # and what of that stands in the log
+        self.stopping = False
+        self.last_error = ""  # of the last write; empty if it succeeded
+        self.logged_error = ""
         self.lock = threading.Condition()
         self.thread = threading.Thread(target=self._run, name="snapshot", daemon=True)
         self.thread.start()
 
     def put(self, header: Header, beliefs: Beliefs) -> None:
-        """To be written as soon as may be; one that waits still is passed over."""
+        """Queue a snapshot; it replaces one that is still queued."""
         with self.lock:
-            self.passed_over += self.waiting is not None
-            self.waiting = header, beliefs
+            self.superseded += self.pending is not None
+            self.pending = header, beliefs
             self.lock.notify()
 
     def turn(self) -> None:
-        """The loop's: say what has changed since."""
+        """Log a change of the write status; called from the event loop."""
         with self.lock:
-            wrong = self.wrong
-        if wrong != self.told:
-            self.say(f"snapshot: {self.store.folder}: "
-                     + (f"not kept: {wrong}" if wrong else "kept again"))
-            self.told = wrong
+            error = self.last_error
+        if error != self.logged_error:
+            self.log(f"snapshot: {self.store.folder}: "
+                     + (f"not kept: {error}" if error else "kept again"))
+            self.logged_error = error
 
     def end(self, seconds: float) -> bool:
-        """Let the last one be written; whether all is on the disk.  The thread ends with the process."""
+        """Wait at most ``seconds`` for the queued snapshot; returns whether it is on disk.  The daemon thread ends
+        with the process."""
         with self.lock:
-            self.ending = True
+            self.stopping = True
             self.lock.notify()
-            return self.lock.wait_for(lambda: self.waiting is None and not self.busy, seconds) and not self.wrong
+            return (self.lock.wait_for(lambda: self.pending is None and not self.busy, seconds)
+                    and not self.last_error)
 
     def _run(self) -> None:
         claimed = False
         while True:
             with self.lock:
-                while self.waiting is None:
-                    if self.ending:
+                while self.pending is None:
+                    if self.stopping:
                         return
                     self.lock.wait()
-                (header, beliefs), self.waiting = self.waiting, None
+                (header, beliefs), self.pending = self.pending, None
                 self.busy = True
-            wrong, serial = "", self.serial + 1
+            failure, serial = "", self.serial + 1
             try:
                 if not claimed and self.store.claim():
                     claimed = True
-                    newest, _ = self.store.newest()  # who wrote here before may have gone on meanwhile
+                    newest, _ = self.store.newest()  # a previous writer may have continued after our read
                     serial = max(serial, newest.serial + 1 if newest is not None else 0)
                 if not claimed:
-                    wrong = "another process of this node keeps its own there"
+                    failure = "another process of this node holds the write lock"
                 elif data := encode(header, serial, beliefs):
                     self.store.write(data, serial)
                 else:
-                    wrong = "more than may be kept"
+                    failure = "state exceeds the size limit"
             except OSError as error:
-                wrong = error.strerror or str(error)
-            except Exception as error:  # nothing of it may end a node, or stay unsaid
-                wrong = f"{type(error).__name__}: {error}"
+                failure = error.strerror or str(error)
+            except Exception as error:  # a bug here must not stop the node, and must be logged
+                failure = f"{type(error).__name__}: {error}"
             with self.lock:
-                self.busy, self.wrong = False, wrong
-                if wrong:
+                self.busy, self.last_error = False, failure
+                if failure:
                     self.failed += 1
                 else:
                     self.serial, self.written = serial, self.written + 1
--- a/tests/snapshot/test_ages.py
+++ b/tests/snapshot/test_ages.py
@@ -1,4 +1,4 @@
-"""What is taken of a snapshot, by whose it is and how old; and that the worst of them moves nothing for long."""
+"""Restored parts of a snapshot by origin and age, and the bound on how long a wrong snapshot affects decisions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     TimerFired,
 )
 from headspar.snapshot import ages
-from headspar.snapshot.ages import DAY, FIELDS, HOUR, Header, Here, Whose, take, weight, whose
+from headspar.snapshot.ages import DAY, FIELDS, HOUR, Header, Here, Whose, origin_of, take, weight
 from tests.handover.test_beliefs import Module, learned
 from tests.helpers import entry, full
 from tests.helpers import settings as module_settings
@@ -41,10 +41,10 @@
 
 
 def test_whose_a_snapshot_is() -> None:
-    assert whose(HEADER, here()) is Whose.OWN
-    assert whose(HEADER, here(name="n2")) is Whose.NODE
-    assert whose(HEADER, here(name="n2", site="b")) is Whose.SITE
-    assert whose(HEADER, here(settings="s2", site="b")) is Whose.SETTINGS  # what was told of other settings first
+    assert origin_of(HEADER, here()) is Whose.OWN
+    assert origin_of(HEADER, here(name="n2")) is Whose.NODE
+    assert origin_of(HEADER, here(name="n2", site="b")) is Whose.SITE
+    assert origin_of(HEADER, here(settings="s2", site="b")) is Whose.SETTINGS  # differing settings take precedence
 
 
 @pytest.mark.parametrize(("age_s", "of", "taken"), [
@@ -61,14 +61,15 @@
 def test_what_is_taken_by_its_age_and_by_whose_it_is(age_s: float, of: Whose, taken: str) -> None:
     found = {name for name in FIELDS if weight(name, of, age_s)}
     assert found == set(taken.split())
-    for name in FIELDS:  # it never gains weight
+    for name in FIELDS:  # the weight never grows with age
         assert weight(name, of, age_s) >= weight(name, of, 2 * age_s)
 
 
 def test_what_goes_bad_in_seconds_is_not_kept_and_the_table_says_to_what_all_decays() -> None:
-    assert {n for n, f in FIELDS.items() if not f.half_s} == {"shares", "tenants", "retries", "outstanding", "peers"}
-    assert all(f.author and f.to for f in FIELDS.values())
-    assert f"{PEER_STALE_US // 1_000_000} s old" in FIELDS["peers"].to
+    assert {n for n, f in FIELDS.items() if not f.half_life_s} == {
+        "shares", "tenants", "retries", "outstanding", "peers"}
+    assert all(f.source and f.fallback for f in FIELDS.values())
+    assert f"{PEER_STALE_US // 1_000_000} s old" in FIELDS["peers"].fallback
 
 
 def test_a_fresh_one_of_this_node_is_nearly_what_a_hand_over_brings() -> None:
@@ -76,9 +77,9 @@
     taken = take(HEADER, beliefs, here(0.5))
     x, y = beliefs.experience, taken.beliefs.experience
     assert y.capacity["k"] == x.capacity["k"] and "proven" not in y.capacity and "late_num" not in y.capacity
-    assert y.classes["look"][1:] == x.classes["look"][1:] and y.classes["look"][0] == ages.CLASS_COUNT
-    ill = {s.id: s.health for s in x.servers if s.health < 0.4}
-    assert ill and all(abs(s.health - ill[s.id]) < 0.02 for s in y.servers if s.id in ill)
+    assert y.classes["look"][1:] == x.classes["look"][1:] and y.classes["look"][0] == ages.MAX_CLASS_SAMPLES
+    unhealthy = {s.id: s.health for s in x.servers if s.health < 0.4}
+    assert unhealthy and all(abs(s.health - unhealthy[s.id]) < 0.02 for s in y.servers if s.id in unhealthy)
     assert all(s.linger == 0 and s.last_ok == -1 for s in y.servers)
     assert y.retries == 0 and y.tenants == {} and y.shares == {}
     assert taken.beliefs.learned.limits == beliefs.learned.limits and taken.notes == []
@@ -86,11 +87,11 @@
 
 def test_with_its_age_a_server_is_thought_sound_again_and_others_answers_weigh_less() -> None:
     _, beliefs = learned()
-    ill = min(beliefs.experience.servers, key=lambda s: s.health).id
+    unhealthy = min(beliefs.experience.servers, key=lambda s: s.health).id
     health, counts = [], []
     for age in (0.0, 10.0, 30.0, 60.0):
         e = take(HEADER, beliefs, here(age)).beliefs.experience
-        health.append(next(s.health for s in e.servers if s.id == ill))
+        health.append(next(s.health for s in e.servers if s.id == unhealthy))
         counts.append(sum(row[1] for row in e.kinds.values()))
     assert health == sorted(health) and health[0] < 0.1 < 0.5 < health[-1]
     assert counts == sorted(counts, reverse=True)
@@ -101,7 +102,7 @@
     taken = take(HEADER, beliefs, here(-3600.0))
     assert taken.age_s is None and {n for n, w in taken.weights.items() if w} == {"work", "idle"}
     assert "can't be told" in taken.notes[0]
-    assert take(HEADER, beliefs, here(-2.0)).age_s == 0.0  # clocks of one machine differ by as much
+    assert take(HEADER, beliefs, here(-2.0)).age_s == 0.0  # within the tolerated clock skew
 
 
 def test_times_of_a_server_are_those_of_this_nodes_clock() -> None:
@@ -117,7 +118,7 @@
         s.health = 0.1
     taken = take(HEADER, beliefs, here())
     assert all(s.health == 1.0 for s in taken.beliefs.experience.servers)
-    assert "4 of 6 servers ill" in taken.notes[0]
+    assert "4 of 6 servers unhealthy" in taken.notes[0]
 
 
 def test_latencies_that_can_not_be_are_left_out_and_named() -> None:
@@ -129,7 +130,7 @@
         assert taken.beliefs.experience.classes == {} and "class look" in taken.notes[0]
 
 
-# ---------------------------------------------------------------- a bound on what the worst can do
+# ---------------------------------------------------------------- bound on the effect of a wrong snapshot
 
 POSITIVE = st.one_of(st.just(0.0), st.floats(0, 1e16), st.sampled_from([1e-300, 1.0, 1e3, 1e9, 1e16]))
 CAPACITY = ("k", "linger_us", "rate", "work_rate", "served_rate", "steady", "sent_rate", "late_num", "late_den",
@@ -138,8 +139,8 @@
 
 
 @st.composite
-def made_up(draw: Any) -> Beliefs:
-    """Anything that can be read as beliefs."""
+def arbitrary_beliefs(draw: Any) -> Beliefs:
+    """Arbitrary values that the decoder of the learned state accepts."""
     capacity = {n: draw(POSITIVE) for n in CAPACITY}
     for name in ("linger_us", "typical_work", "typical_own"):
         capacity[name] = max(capacity[name], 1e-300)
@@ -156,7 +157,7 @@
 
 
 def under_load(balancer: Balancer, seconds: float, rng: random.Random) -> tuple[list[int], list[tuple[int, str]]]:
-    """When it refused, and when it sent where, us from the beginning; every server answers in 40 to 60 ms."""
+    """Times of refusals, and times and backends of attempts, us from the start; servers answer in 40 to 60 ms."""
     start = now = 1_000_000
     refused, sent, serial = [], [], 0
     due: list[tuple[int, Any]] = []
@@ -179,18 +180,18 @@
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(beliefs=made_up(), age_s=st.sampled_from([0.0, 5.0, 30.0, HOUR, DAY]))
+@given(beliefs=arbitrary_beliefs(), age_s=st.sampled_from([0.0, 5.0, 30.0, HOUR, DAY]))
 def test_the_worst_snapshot_moves_no_decision_for_longer_than_is_stated(beliefs: Beliefs, age_s: float) -> None:
-    """By ``BOUND_US`` nobody is refused by an idle fleet, and every sound server gets its requests."""
+    """After ``RECOVERY_BOUND_US`` an idle fleet refuses no request, and every healthy server receives its share."""
     taken = take(HEADER, beliefs, here(age_s)).beliefs.experience
     assert all(isfinite(v) for row in [*taken.kinds.values(), *taken.classes.values()] for v in row)
     balancer = Balancer(module_settings(must_subscribe=False), 7)
     balancer.handle(1_000_000, [full(6), Recalled(taken, soon=False)])
     refused, sent = under_load(balancer, 6.0, random.Random(1))
-    assert not [at for at in refused if at > ages.BOUND_US], refused[-3:]
-    late = [id for at, id in sent if at > 2 * ages.BOUND_US]
-    assert len(late) >= 150 and set(late) == set(SERVERS)
-    assert max(map(late.count, SERVERS)) <= 0.6 * len(late)
+    assert not [at for at in refused if at > ages.RECOVERY_BOUND_US], refused[-3:]
+    late_backends = [id for at, id in sent if at > 2 * ages.RECOVERY_BOUND_US]
+    assert len(late_backends) >= 150 and set(late_backends) == set(SERVERS)
+    assert max(map(late_backends.count, SERVERS)) <= 0.6 * len(late_backends)
 
 
 def test_a_snapshot_does_not_bring_a_whole_fleet_before_discovery_at_once() -> None:
--- a/tests/snapshot/test_over_processes.py
+++ b/tests/snapshot/test_over_processes.py
@@ -1,4 +1,4 @@
-"""Real nodes that keep what they have learned: killed, ended, cloned, upgraded, before disks that fail."""
+"""Snapshots of real node processes: after a kill, a shutdown, an upgrade, beside a clone, and with failing disks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextlib.contextmanager
 def keeping(every_s: float = 0.2, backends: int = 3, ops: bool = True) -> Iterator[tuple[Node, Path]]:
-    """A node that keeps its state, and the folder."""
+    """A running node with snapshots on, and its snapshot folder."""
     with running(*[None] * backends, ops=ops) as node:
         folder = Path(node.dir.name) / "state-n0"
         operators = Path(node.dir.name) / "operator.toml"
@@ -30,21 +30,21 @@
         yield node, folder
 
 
-def ask(node: Node, times: int, status: int | None = 200) -> None:
+def send_requests(node: Node, times: int, status: int | None = 200) -> None:
     with node.client() as client:
         for _ in range(times):
             found = client.ask().status
             assert status is None or found == status
 
 
-def kept(folder: Path, since: int = 0) -> Snapshot | None:
+def newest_snapshot(folder: Path, since: int = 0) -> Snapshot | None:
     newest, wrong = Store(folder).newest()
     assert wrong == []
     return newest if newest is not None and newest.serial > since else None
 
 
 def learned(folder: Path, requests: int) -> bool:
-    newest = kept(folder)
+    newest = newest_snapshot(folder)
     return newest is not None and newest.beliefs.experience.classes.get("look", [0])[0] >= requests
 
 
@@ -53,52 +53,52 @@
     node.process.wait()
 
 
-def said(node: Node, words: str) -> int:
-    return node.log.read_text().count(words)
+def logged(node: Node, text: str) -> int:
+    return node.log.read_text().count(text)
 
 
 def test_a_killed_node_goes_on_from_what_it_had_kept() -> None:
     with keeping() as (node, folder):
-        ask(node, 60)
+        send_requests(node, 60)
         wait_for(lambda: learned(folder, 60))
         kill(node)
         node.start()
-        assert said(node, "snapshot: this node's, ") == 1 and said(node, "taken: capacity, health") == 1
-        wait_for(lambda: kept(folder, 0))
-        # What it keeps from here on rests on both lives.
-        ask(node, 5)
+        assert logged(node, "snapshot: this node's, ") == 1 and logged(node, "taken: capacity, health") == 1
+        wait_for(lambda: newest_snapshot(folder, 0))
+        # Later snapshots contain the state of both processes.
+        send_requests(node, 5)
         wait_for(lambda: learned(folder, 60))
-        first = kept(folder)
+        first = newest_snapshot(folder)
         assert first is not None
-        wait_for(lambda: kept(folder, first.serial))
+        wait_for(lambda: newest_snapshot(folder, first.serial))
 
 
 def test_an_ill_server_is_known_after_a_kill_and_not_by_a_node_that_has_kept_nothing() -> None:
     with keeping() as (node, folder):
-        ill = node.backends[0]
-        ask(node, 30)
-        ill.script = lambda conn, request: conn.close()
-        ask(node, 60, None)
-        wait_for(lambda: (s := kept(folder)) is not None and any(
+        failing = node.backends[0]
+        send_requests(node, 30)
+        failing.script = lambda conn, request: conn.close()
+        send_requests(node, 60, None)
+        wait_for(lambda: (s := newest_snapshot(folder)) is not None and any(
             x.id == "s-1" and x.health < 0.3 for x in s.beliefs.experience.servers))
         kill(node)
-        before = len(ill.requests)
+        before = len(failing.requests)
         node.start()
-        ask(node, 12, None)
-        knew = len(ill.requests) - before
+        send_requests(node, 12, None)
+        with_snapshot = len(failing.requests) - before
         kill(node)
-        assert Store(folder).forget() >= 1
-        before = len(ill.requests)
+        assert Store(folder).delete_all() >= 1
+        before = len(failing.requests)
         node.start()
-        ask(node, 12, None)
-        assert knew < len(ill.requests) - before
+        send_requests(node, 12, None)
+        assert with_snapshot < len(failing.requests) - before
 
 
 def test_an_ordered_end_keeps_the_last_word() -> None:
     with keeping(every_s=3600.0) as (node, folder):
-        ask(node, 40)
-        assert kept(folder) is None and node.stop() == 0
-        newest = kept(folder)
+        send_requests(node, 40)
+        assert newest_snapshot(folder) is None and node.stop() == 0
+        newest = newest_snapshot(folder)
         assert newest is not None and newest.beliefs.experience.classes["look"][0] == 40
         assert newest.header.name == "n0" and abs(time.time() - newest.header.wall_us / 1e6) < 60
 
@@ -106,8 +106,8 @@
 @pytest.mark.parametrize("harm", ["torn", "empty", "garbage", "gone", "one gone"])
 def test_what_can_not_be_read_is_said_and_the_start_goes_on_without(harm: str) -> None:
     with keeping() as (node, folder):
-        ask(node, 10)
-        wait_for(lambda: kept(folder, 1))
+        send_requests(node, 10)
+        wait_for(lambda: newest_snapshot(folder, 1))
         kill(node)
         paths = [folder / name for name in NAMES]
         for path in paths[: 1 if harm == "one gone" else 2]:
@@ -118,19 +118,20 @@
             else:
                 path.write_bytes(b"" if harm == "empty" else os.urandom(3000))
         node.start()
-        ask(node, 20)
-        assert said(node, "taken:") == (harm == "one gone")
-        assert said(node, "snapshot-0: ") == (not harm.endswith("gone"))
-        # And it keeps on, over what lies there.
-        wait_for(lambda: all(isinstance(found, Snapshot) for _, found in Store(folder).each()) and kept(folder, 1))
+        send_requests(node, 20)
+        assert logged(node, "taken:") == (harm == "one gone")
+        assert logged(node, "snapshot-0: ") == (not harm.endswith("gone"))
+        # The node overwrites the damaged files.
+        wait_for(lambda: all(isinstance(found, Snapshot) for _, found in Store(folder).read_all())
+                 and newest_snapshot(folder, 1))
 
 
 def test_a_disk_that_hangs_holds_up_no_answer_and_no_end() -> None:
-    """Its file is a pipe that nobody reads: the call that opens it never comes back."""
+    """The temporary file is a FIFO without a reader, so that opening it for writing blocks forever."""
     with keeping(every_s=0.1) as (node, folder):
-        wait_for(lambda: kept(folder, 2))
+        wait_for(lambda: newest_snapshot(folder, 2))
         kill(node)
-        newest = kept(folder)
+        newest = newest_snapshot(folder)
         assert newest is not None
         for name in NAMES:
             os.mkfifo(folder / f"{name}.new")
@@ -139,71 +140,71 @@
             end = time.monotonic() + 2.0
             while time.monotonic() < end:
                 assert client.ask().status == 200
-        assert kept(folder, newest.serial) is None
+        assert newest_snapshot(folder, newest.serial) is None
         assert node.stop() == 0
 
 
 def test_a_disk_that_turns_all_away_costs_one_line() -> None:
     with keeping(every_s=0.1) as (node, folder):
-        wait_for(lambda: kept(folder, 1))
+        wait_for(lambda: newest_snapshot(folder, 1))
         kill(node)
         for name in NAMES:
-            (folder / f"{name}.new").mkdir()  # nothing can be written there, by whoever
+            (folder / f"{name}.new").mkdir()  # opening it fails, even for root
         node.start()
-        wait_for(lambda: said(node, "not kept: ") == 1)
-        ask(node, 100)
+        wait_for(lambda: logged(node, "not kept: ") == 1)
+        send_requests(node, 100)
         time.sleep(1.0)
-        assert said(node, "not kept: ") == 1
+        assert logged(node, "not kept: ") == 1
         for name in NAMES:
             (folder / f"{name}.new").rmdir()
-        wait_for(lambda: said(node, "kept again") == 1)
+        wait_for(lambda: logged(node, "kept again") == 1)
 
 
 def test_a_folder_taken_away_under_a_node_is_said_and_harms_nobody() -> None:
     with keeping(every_s=0.1) as (node, folder):
-        wait_for(lambda: kept(folder, 1))
+        wait_for(lambda: newest_snapshot(folder, 1))
         folder.rename(folder.with_name("elsewhere"))
-        wait_for(lambda: said(node, "not kept: ") == 1)
-        ask(node, 50)
+        wait_for(lambda: logged(node, "not kept: ") == 1)
+        send_requests(node, 50)
         assert node.stop() == 0
 
 
 def test_a_clone_beside_a_node_takes_nobodys_place() -> None:
-    """Another process of the same name, on another address, with the same folder."""
+    """A clone (same name and folder, other address) must not replace the node's snapshots."""
     with keeping() as (node, folder), running(None, ops=True) as other:
-        ask(node, 30)
+        send_requests(node, 30)
         wait_for(lambda: learned(folder, 30))
         assert other.stop() == 0
         other.env["HEADSPAR_OPERATOR"] = node.env["HEADSPAR_OPERATOR"]
         other.start()
-        wait_for(lambda: said(other, "another process of this node keeps its own there") == 1)
-        ask(other, 30)
-        first = kept(folder)
+        wait_for(lambda: logged(other, "another process of this node holds the write lock") == 1)
+        send_requests(other, 30)
+        first = newest_snapshot(folder)
         assert first is not None
-        wait_for(lambda: kept(folder, first.serial + 2))  # the node goes on keeping its own
-        newest = kept(folder)
+        wait_for(lambda: newest_snapshot(folder, first.serial + 2))  # the first node keeps writing
+        newest = newest_snapshot(folder)
         assert newest is not None and len(newest.beliefs.known["instances"]) == 3  # type: ignore[index]
-        assert said(node, "not kept") == 0
+        assert logged(node, "not kept") == 0
 
 
 def test_an_upgrade_goes_on_from_the_hand_over_and_the_successor_keeps_from_its_end_on() -> None:
     with keeping() as (node, folder):
-        ask(node, 30)
+        send_requests(node, 30)
         wait_for(lambda: learned(folder, 30))
         first = node.second()
-        assert said(node, "taken: ") == 0  # what is handed over is newer
-        ask(node, 30)
+        assert logged(node, "taken: ") == 0  # the handed-over state is newer
+        send_requests(node, 30)
         first.send_signal(signal.SIGTERM)
         assert first.wait(15) == 0
-        last = kept(folder)
+        last = newest_snapshot(folder)
         assert last is not None
-        wait_for(lambda: kept(folder, last.serial + 1))
+        wait_for(lambda: newest_snapshot(folder, last.serial + 1))
         assert learned(folder, 60)
 
 
 def test_servers_of_which_all_are_others_by_now_are_passed_over() -> None:
     with keeping() as (node, folder):
-        ask(node, 30)
+        send_requests(node, 30)
         wait_for(lambda: learned(folder, 30))
         kill(node)
         config = node.configuration()
@@ -213,5 +214,5 @@
         Path(node.env["ROUTER_CONFIG"]).write_text(json.dumps(config))
         node.discovery.rows = config["known"]["instances"]
         node.start()
-        ask(node, 30)
+        send_requests(node, 30)
         assert node.call("/stats")[1]["targets"] == 3
--- a/tests/snapshot/test_store.py
+++ b/tests/snapshot/test_store.py
@@ -1,4 +1,4 @@
-"""A snapshot's bytes and its folder: whole or not at all, by one that writes, whatever the disk does."""
+"""Snapshot format, folder and writer: atomic replacement by a single writer, also with failing disks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from headspar.handover.beliefs import Beliefs
 from headspar.snapshot import form
 from headspar.snapshot.ages import Header
-from headspar.snapshot.form import FormError, decode, encode, pack
+from headspar.snapshot.form import FormatError, decode, encode, pack
 from headspar.snapshot.store import NAMES, Store
 from headspar.snapshot.writer import Writer
 from tests.handover.test_beliefs import learned
@@ -48,11 +48,11 @@
     data = encode(HEADER, 7, beliefs)
     for i in range(len(data)):
         for bit in (1, 0x80):
-            with pytest.raises(FormError):
+            with pytest.raises(FormatError):
                 decode(data[:i] + bytes([data[i] ^ bit]) + data[i + 1:])
-        with pytest.raises(FormError):
+        with pytest.raises(FormatError):
             decode(data[:i])
-    with pytest.raises(FormError):
+    with pytest.raises(FormatError):
         decode(data + b"x")
 
 
@@ -61,7 +61,7 @@
 ])
 def test_another_form_with_a_sound_check_sum_is_turned_down_in_a_line(line: Any) -> None:
     text = json.dumps(line).encode()
-    with pytest.raises(FormError) as error:
+    with pytest.raises(FormatError) as error:
         decode(hashlib.sha256(text).hexdigest().encode() + b" " + text + b"\n" + zlib.compress(b"{}"))
     assert "\n" not in str(error.value)
 
@@ -69,8 +69,8 @@
 def test_more_than_may_be_is_neither_written_nor_unpacked(beliefs: Beliefs) -> None:
     huge = replace(beliefs, known={"generation": 1, "instances": ["x" * 100] * 60_000})
     assert encode(HEADER, 1, huge) == b""
-    with pytest.raises(FormError, match="bytes"):
-        decode(pack(HEADER, 1, b" " * (40 << 20)))  # some kilobytes on the disk
+    with pytest.raises(FormatError, match="bytes"):
+        decode(pack(HEADER, 1, b" " * (40 << 20)))  # compresses to a few kilobytes on disk
 
 
 def test_two_files_in_turn_and_the_newest_whole_one_counts(tmp_path: Path, beliefs: Beliefs) -> None:
@@ -84,8 +84,8 @@
     path = tmp_path / "s" / NAMES[1]
     path.write_bytes(path.read_bytes()[:-1])
     newest, wrong = store.newest()
-    assert newest is not None and newest.serial == 2 and wrong == [f"{NAMES[1]}: torn, or changed by hand"]
-    assert store.forget() == 2 and store.newest() == (None, [])
+    assert newest is not None and newest.serial == 2 and wrong == [f"{NAMES[1]}: truncated or modified"]
+    assert store.delete_all() == 2 and store.newest() == (None, [])
 
 
 def test_one_writes_at_a_time_and_the_next_when_it_has_ended(tmp_path: Path) -> None:
@@ -118,7 +118,7 @@
     assert (found := store.newest()[0]) is not None and found.serial == 4
 
 
-WRITES = """
+WRITER_PROGRAM = """
 import sys, time
 from pathlib import Path
 from headspar import failpoints
@@ -145,10 +145,10 @@
     body = tmp_path / "body"
     body.write_bytes(encode_beliefs(beliefs))
     folder = tmp_path / "s"
-    told = 0
+    reported = 0
     points = [f"snapshot.{place}=kill@{n}" for place in PLACES for n in (1, 2, 3)]
     for kill in [*points, *[""] * 12]:
-        command = [sys.executable, "-c", WRITES, str(folder), str(body), *([kill] if kill else [])]
+        command = [sys.executable, "-c", WRITER_PROGRAM, str(folder), str(body), *([kill] if kill else [])]
         process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         assert process.stdout is not None
         try:
@@ -162,18 +162,18 @@
             process.kill()
             process.wait()
             process.stdout.close()
-        told = max([told, *map(int, lines)])
+        reported = max([reported, *map(int, lines)])
         newest, wrong = Store(folder).newest()
-        assert wrong == [] and (newest.serial if newest is not None else 0) >= told, kill
-        told = max(told, newest.serial if newest is not None else 0)
-    assert told > 12
+        assert wrong == [] and (newest.serial if newest is not None else 0) >= reported, kill
+        reported = max(reported, newest.serial if newest is not None else 0)
+    assert reported > 12
 
 
-# ---------------------------------------------------------------- beside the loop
+# ---------------------------------------------------------------- background writer
 
 
-class Slow(Store):
-    """A disk that takes as long as it is told."""
+class BlockingStore(Store):
+    """Blocks each write until ``go`` is set."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -187,7 +187,7 @@
 
 
 def test_while_a_write_hangs_the_newest_waits_and_nobody_else(tmp_path: Path, beliefs: Beliefs) -> None:
-    store = Slow(tmp_path)
+    store = BlockingStore(tmp_path)
     writer = Writer(store, lambda text: None)
     writer.put(HEADER, beliefs)
     assert store.begun.wait(10)
@@ -197,8 +197,8 @@
         writer.put(replace(HEADER, wall_us=i), beliefs)
         writer.turn()
         longest = max(longest, time.perf_counter() - since)
-    assert writer.passed_over == 49 and longest < 0.1
-    assert not writer.end(0.01)  # nor is its end waited for beyond what is told
+    assert writer.superseded == 49 and longest < 0.1
+    assert not writer.end(0.01)  # shutdown waits no longer than its time-out
     store.go.set()
     assert writer.end(10)
     newest, _ = store.newest()
@@ -206,8 +206,8 @@
 
 
 def test_a_disk_that_fails_costs_one_line_until_it_is_well_again(tmp_path: Path, beliefs: Beliefs) -> None:
-    said: list[str] = []
-    writer = Writer(Store(tmp_path / "s"), said.append)
+    logged: list[str] = []
+    writer = Writer(Store(tmp_path / "s"), logged.append)
     failpoints.arm({"HEADSPAR_FAILPOINTS": "snapshot.sync=ENOSPC@2+"})
     try:
         for turn in range(1, 7):
@@ -219,28 +219,28 @@
             writer.turn()
     finally:
         failpoints.arm({})
-    assert len(said) == 2 and os.strerror(errno.ENOSPC) in said[0] and said[1].endswith("kept again")
+    assert len(logged) == 2 and os.strerror(errno.ENOSPC) in logged[0] and logged[1].endswith("kept again")
     assert (writer.written, writer.failed) == (3, 3) and writer.end(10)
 
 
 def test_a_clone_beside_a_node_keeps_nothing_and_says_so(tmp_path: Path, beliefs: Beliefs) -> None:
-    said: list[str] = []
-    one, two = Writer(Store(tmp_path), said.append), Writer(Store(tmp_path), said.append)
+    logged: list[str] = []
+    one, two = Writer(Store(tmp_path), logged.append), Writer(Store(tmp_path), logged.append)
     one.put(HEADER, beliefs)
     assert one.end(10)
     two.put(replace(HEADER, wall_us=1), beliefs)
     assert not two.end(10)
     two.turn()
-    assert said == [f"snapshot: {tmp_path}: not kept: another process of this node keeps its own there"]
+    assert logged == [f"snapshot: {tmp_path}: not kept: another process of this node holds the write lock"]
     newest, _ = Store(tmp_path).newest()
     assert newest is not None and newest.header == HEADER
     one.store.release()
-    three = Writer(Store(tmp_path), said.append)  # numbers go on from what lies there
+    three = Writer(Store(tmp_path), logged.append)  # serials continue from the stored snapshot
     three.put(replace(HEADER, wall_us=2), beliefs)
     assert three.end(10) and three.serial == 2
 
 
-# ---------------------------------------------------------------- for people
+# ---------------------------------------------------------------- command line
 
 
 def test_the_commands_show_what_lies_there_and_what_would_be_taken(tmp_path: Path, beliefs: Beliefs) -> None:
@@ -252,7 +252,7 @@
         store.write(encode(header, serial, beliefs), serial)
     (folder / NAMES[1]).write_bytes(b"x")
     rows = json.loads(run.invoke(app, ["state", "show", str(folder), "--json"]).stdout)
-    assert [r.get("serial") for r in rows] == [2, None] and rows[1]["wrong"] == "no snapshot"
+    assert [r.get("serial") for r in rows] == [2, None] and rows[1]["wrong"] == "not a snapshot"
     assert "number 2, of n1 in a" in run.invoke(app, ["state", "show", str(folder)]).stdout
     own = json.loads(run.invoke(app, ["state", "check", str(folder), "--json"]).stdout)
     other = json.loads(run.invoke(app, ["state", "check", str(folder), "--settings", "s2", "--json"]).stdout)
@@ -262,20 +262,20 @@
     out = tmp_path / "out.json"
     assert run.invoke(app, ["state", "export", str(folder), "--out", str(out)]).exit_code == 0
     assert json.loads(out.read_text())["header"]["name"] == "n1"
-    assert run.invoke(app, ["state", "forget", str(folder)]).exit_code == 0 and len(store.each()) == 2
-    held = run.invoke(app, ["state", "forget", str(folder), "--yes"])
-    assert held.exit_code == 1 and "stop it first" in held.stderr
+    assert run.invoke(app, ["state", "forget", str(folder)]).exit_code == 0 and len(store.read_all()) == 2
+    locked = run.invoke(app, ["state", "forget", str(folder), "--yes"])
+    assert locked.exit_code == 1 and "stop it first" in locked.stderr
     store.release()
-    assert run.invoke(app, ["state", "forget", str(folder), "--yes"]).exit_code == 0 and store.each() == []
+    assert run.invoke(app, ["state", "forget", str(folder), "--yes"]).exit_code == 0 and store.read_all() == []
 
 
-@pytest.mark.parametrize(("arguments", "status", "said"), [
-    (["show", "/no/such"], 2, "no such folder"), (["show", "FOLDER"], 1, "nothing there"),
-    (["check", "FOLDER"], 1, "nothing is kept"), (["export", "FOLDER", "--out", "/no/such/x"], 2, "no such folder"),
+@pytest.mark.parametrize(("arguments", "status", "message"), [
+    (["show", "/no/such"], 2, "no such folder"), (["show", "FOLDER"], 1, "no usable snapshot"),
+    (["check", "FOLDER"], 1, "no snapshot found"), (["export", "FOLDER", "--out", "/no/such/x"], 2, "no such folder"),
     (["forget", "/no/such", "--yes"], 2, "no such folder"),
 ])
 def test_what_can_not_be_shown_is_said_in_one_line(
-    tmp_path: Path, arguments: list[str], status: int, said: str,
+    tmp_path: Path, arguments: list[str], status: int, message: str,
 ) -> None:
     result = run.invoke(app, ["state", *(a.replace("FOLDER", str(tmp_path)) for a in arguments)])
-    assert result.exit_code == status and said in result.stderr and result.stderr.count("\n") == 1
+    assert result.exit_code == status and message in result.stderr and result.stderr.count("\n") == 1
