--- a/headspar/commands.py
+++ b/headspar/commands.py
@@ -1,4 +1,4 @@
-"""What the commands for people share: how they stop, and how they find a scenario."""
+"""Helpers shared by the command-line modules: error exits, scenario lookup, checks of output paths."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 def stop(text: str, status: int) -> typer.Exit:
-    """One line on standard error, and what is to be raised."""
+    """Print one line to standard error and return the exception to raise, with this exit status."""
     print(f"headspar: {' '.join(text.split())}", file=sys.stderr)
     return typer.Exit(status)
 
 
 def scenario_names() -> list[str]:
-    """The scenarios that come along."""
+    """Names of the bundled scenarios."""
     folder = resources.files("headspar.lab") / "scenarios"
     return sorted(f.name.removesuffix(".toml") for f in folder.iterdir() if f.name.endswith(".toml"))
 
 
 def scenario(name: str, nodes: int | None = None) -> Scenario:
-    """A file's, or one that comes along; ``nodes``: in place of its own count."""
+    """Load a scenario from a file or by its bundled name; ``nodes`` overrides its node count."""
     path = Path(name)
     if not path.suffix and name in scenario_names():
         path = Path(str(resources.files("headspar.lab") / "scenarios" / f"{name}.toml"))
@@ -40,7 +40,7 @@
 
 
 def writable(*paths: Path | None) -> None:
-    """Said before anything is run, not after it."""
+    """Check before a long run that the folders of its output files exist; exits with status 2 otherwise."""
     for path in paths:
         if path is not None and str(path) != "-" and not path.absolute().parent.is_dir():
             raise stop(f"{path}: there is no such folder", 2)
--- a/headspar/failpoints.py
+++ b/headspar/failpoints.py
@@ -1,8 +1,8 @@
-"""Named places at which a process can be made to fail, for tests that break it there; off unless told otherwise.
+"""Failpoints: named places at which tests make a process fail.  Off unless the environment enables them.
 
-``HEADSPAR_FAILPOINTS="keeper.spawned=kill, record.intent=stop@3, keeper.state=ENOSPC"``: at the place (the third time
-it is come by, with ``@3``) the process is killed, stopped, or the call there fails with that error.  With ``@3+`` it
-fails from the third time on.
+``HEADSPAR_FAILPOINTS="keeper.spawned=kill, record.intent=stop@3, keeper.state=ENOSPC"``: when execution reaches the
+failpoint, the process receives SIGKILL or SIGSTOP, or an ``OSError`` with that error number is raised.  ``@3``
+selects the third time the failpoint is reached, ``@3+`` the third and all later times.  The default is the first.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 
 class FailpointError(ValueError):
-    """A failpoint that can't be read; the text names it."""
+    """A failpoint definition that can't be parsed; the text quotes it."""
 
 
 class _Point:
-    """What happens at one place, and at which of its passes."""
+    """The action of one failpoint and the hits that trigger it."""
 
     def __init__(self, text: str) -> None:
         name, equals, rest = text.partition("=")
         self.name = name.strip()
-        what, _, when = rest.strip().partition("@")
-        self.what = what
-        self.onward = when.endswith("+")
+        action, _, when = rest.strip().partition("@")
+        self.action = action
+        self.repeats = when.endswith("+")
         number = when.rstrip("+") or "1"
-        known = what in ("kill", "stop") or hasattr(errno, what)
+        known = action in ("kill", "stop") or hasattr(errno, action)
         if not self.name or not equals or not known or not number.isdigit():
             raise FailpointError(f"{VARIABLE}: {text.strip()!r}: needs NAME=kill|stop|ERRNO[@N[+]]")
-        self.at = int(number)
-        self.passed = 0
+        self.first_hit = int(number)
+        self.hits = 0
 
-    def meet(self) -> None:
-        self.passed += 1
-        if self.passed != self.at and not (self.onward and self.passed > self.at):
+    def hit(self) -> None:
+        self.hits += 1
+        if self.hits != self.first_hit and not (self.repeats and self.hits > self.first_hit):
             return
-        if self.what == "kill":
+        if self.action == "kill":
             os.kill(os.getpid(), signal.SIGKILL)
-        elif self.what == "stop":
+        elif self.action == "stop":
             os.kill(os.getpid(), signal.SIGSTOP)
         else:
-            number = getattr(errno, self.what)
+            number = getattr(errno, self.action)
             raise OSError(number, os.strerror(number), self.name)
 
 
@@ -52,7 +52,7 @@
 
 
 def arm(environ: Mapping[str, str]) -> None:
-    """Read the environment; ``FailpointError`` if it says what can't be."""
+    """Replace all failpoints by those of the environment; ``FailpointError`` if one can't be parsed."""
     _points.clear()
     for text in filter(str.strip, environ.get(VARIABLE, "").split(",")):
         point = _Point(text)
@@ -60,6 +60,6 @@
 
 
 def failpoint(name: str) -> None:
-    """A place; nothing happens here unless the environment has named it."""
+    """Run the actions enabled for this failpoint, if any."""
     for point in _points.get(name, ()):
-        point.meet()
+        point.hit()
