--- a/headspar/keeper/__init__.py
+++ b/headspar/keeper/__init__.py
@@ -1,7 +1,9 @@
-"""One process for each machine, which holds its node through changes of program and settings.
+"""The keeper: a supervisor process on each machine that runs the node and replaces its program or settings.
 
-Without I/O or clock: ``core`` (what runs, what ought to run, and what is done about it), ``fence`` (which commands
-count), ``pauses`` (when what has died is started again), ``slots`` (who may move when nobody leads).  With I/O:
-``generations`` (folders, copied whole or not at all), ``state`` (what lasts), ``processes`` (starts and signals,
-only to what is proven to be ours), ``host`` (the whole, with its listener).
+Modules without I/O and clock: ``core`` (state machines that move the node to the wanted generation), ``fence``
+(rejects commands of expired epochs and repeated steps), ``pauses`` (restart backoff), ``slots`` (time slots for
+rolling back while no controller is reachable), ``words`` (validates and applies commands), ``messages`` (protocol).
+Modules with I/O: ``generations`` (atomic copies of releases), ``state`` (durable state), ``processes`` (starts and
+signals, only to processes whose identity is verified), ``calls`` (HTTP calls to the node), ``host`` (the event loop
+and the listener for controllers).
 """
--- a/headspar/keeper/__main__.py
+++ b/headspar/keeper/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m headspar.keeper FILE``: a keeper and nothing of the command line, as it runs on each machine."""
+"""``python -m headspar.keeper FILE``: runs a keeper without loading the rest of the command line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def table_of(file: Path) -> KeeperTable:
-    """The file's ``[keeper]``, with what a keeper can't do without; ``OperatorError`` names what is wrong."""
+    """Read the ``[keeper]`` table of the operator's file; ``OperatorError`` if a required key is missing."""
     table = operator_file.load(file).keeper
     for name in ("folder", "host", "listen"):
         if not getattr(table, name):
@@ -28,10 +28,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The exit status: 0 after SIGTERM, 2 if it can't run; the node goes on when the keeper ends."""
+    """Run a keeper until SIGTERM; the node keeps running afterwards.  Returns 0, or 2 if the keeper can't run."""
     try:
         if len(arguments) != 1:
-            raise HostError("needs the operator's file, and nothing else")
+            raise HostError("needs exactly one argument: the operator's file")
         failpoints.arm(os.environ)
         asyncio.run(Host(table_of(Path(arguments[0])), Events(), dict(os.environ)).run())
     except (HostError, OperatorError, failpoints.FailpointError) as error:
--- a/headspar/keeper/calls.py
+++ b/headspar/keeper/calls.py
@@ -1,4 +1,4 @@
-"""Calls to a node: its operators' listener and its clients' health check, each within a time."""
+"""HTTP calls to a node with time-outs: its operators' listener and the health check on its client listener."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from typing import Any
 
 Address = tuple[str, int]
-MOST = 256 * 1024
+MAX_ANSWER_BYTES = 256 * 1024
 
 
 async def call(address: Address, path: str, method: str = "GET", seconds: float = 1.0) -> tuple[int, dict[str, Any]]:
-    """The status and the JSON of an answer; ``OSError`` where there is none."""
+    """Call a node's operators' listener; returns the status and the JSON object.  ``OSError`` without a valid answer
+    within ``seconds``."""
     writer = None
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: keeper\r\nContent-Length: 0\r\n\r\n".encode())
-            head, _, body = (await reader.read(MOST)).partition(b"\r\n\r\n")
-            while more := await reader.read(MOST):
+            head, _, body = (await reader.read(MAX_ANSWER_BYTES)).partition(b"\r\n\r\n")
+            while more := await reader.read(MAX_ANSWER_BYTES):
                 body += more
-                if len(body) > MOST:
+                if len(body) > MAX_ANSWER_BYTES:
                     break
         status, raw = int(head.split()[1]), json.loads(body)
     except (TimeoutError, IndexError, ValueError, asyncio.IncompleteReadError) as error:
@@ -30,12 +31,12 @@
         if writer is not None:
             writer.close()
     if not isinstance(raw, dict):
-        raise OSError("no answer: no object")
+        raise OSError("no answer: body is not a JSON object")
     return status, raw
 
 
 async def healthy(address: Address, seconds: float = 1.0) -> bool:
-    """Whether the clients' side answers its health check with yes."""
+    """Whether ``GET /healthz`` on the client listener returns 200 within ``seconds``."""
     writer = None
     try:
         async with asyncio.timeout(seconds):
--- a/headspar/keeper/cli.py
+++ b/headspar/keeper/cli.py
@@ -1,6 +1,6 @@
-"""``headspar keeper``: the process that holds a machine's node.
+"""``headspar keeper``: runs and queries the supervisor of a machine's node.
 
-Exit status: 0 all well; 1 nobody answers; 2 a file or an option is no good (one line says which).
+Exit status: 0 success; 1 no keeper answers; 2 invalid file or option, named in one line on standard error.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 from headspar.keeper.messages import Status
 from headspar.operator_file import KeeperTable, OperatorError
 
-app = typer.Typer(no_args_is_help=True, help="The process that holds a machine's node through changes.")
+app = typer.Typer(no_args_is_help=True, help="Run and query the supervisor of a machine's node.")
 FileArgument = Annotated[Path, typer.Argument(help="The operator's file; its table [keeper] is read.")]
 
 
 def table_of(file: Path) -> KeeperTable:
+    """The ``[keeper]`` table of a file; exits with status 2 if it is invalid."""
     try:
         return keeper_main.table_of(file)
     except OperatorError as error:
@@ -37,12 +38,12 @@
 
 @app.command()
 def run(file: FileArgument) -> None:
-    """Hold the node until SIGTERM; the node goes on when the keeper ends."""
+    """Supervise the node until SIGTERM; the node keeps running when the keeper stops."""
     raise typer.Exit(keeper_main.main([str(file)]))
 
 
 def rows(statuses: dict[str, Status | None]) -> Table:
-    """Keepers and their nodes, a line each."""
+    """A table with one row per keeper and its node; ``None`` stands for a keeper that did not answer."""
     table = Table(box=None, header_style="bold")
     for name in ("node", "site", "state", "runs", "present", "trial", "rate", "cold", "restarts", "last change"):
         table.add_column(name)
@@ -63,7 +64,7 @@
     file: FileArgument,
     as_json: Annotated[bool, typer.Option("--json", help="Print it as one line of JSON.")] = False,
 ) -> None:
-    """Ask the keeper that runs here how it and its node are."""
+    """Show the state of this machine's keeper and its node."""
     from headspar.rollout.fleet import Member
     from headspar.rollout.host import ask_all
 
@@ -79,14 +80,14 @@
 
 @app.command()
 def pack(
-    to: Annotated[Path, typer.Argument(help="The folder to be made.")],
+    to: Annotated[Path, typer.Argument(help="The folder to create.")],
     settings: Annotated[Path, typer.Option("--settings", help="The settings object, as JSON.")],
-    operator: Annotated[Path | None, typer.Option("--operator", help="The operator's file of its nodes.")] = None,
-    program: Annotated[Path, typer.Option("--program", help="Its package headspar; this one's if none.")] = PACKAGE,
+    operator: Annotated[Path | None, typer.Option("--operator", help="The operator's file of the nodes.")] = None,
+    program: Annotated[Path, typer.Option("--program", help="The headspar package; default: this one.")] = PACKAGE,
 ) -> None:
-    """Make a generation's folder, and print its name."""
+    """Create the folder of a generation and print the generation's name."""
     if to.exists():
-        raise stop(f"{to}: is there already", 2)
+        raise stop(f"{to}: already exists", 2)
     try:
         if operator is not None:
             operator_file.load(operator)
--- a/headspar/keeper/core.py
+++ b/headspar/keeper/core.py
@@ -1,9 +1,11 @@
-"""What runs on a machine, what ought to run, and what is done about it; without I/O or clock.
-
-Two tables: the *phase* of the node's processes, and the *course* that the keeper is on.  The generation wanted is
-the trial's while one is tried or proven, else the present one; ``advance`` brings what runs to what is wanted by the
-gentlest way there is: new settings by SIGHUP, a second process beside the first, and where the hand-over can't be
-had a drain and a start.  Events come in with the time; actions go out, and each has an end that comes back in.
+"""The keeper's state machines: they compare the running generation with the wanted one and act on a difference.
+
+No I/O, no clock.  Two transition tables describe the *phase* of the node's processes and the *course* of a change.
+The wanted generation is the one on trial while a trial starts or is being proven, otherwise the present one.
+``advance`` moves the node to the wanted generation in the least disruptive way that works: a settings reload by
+SIGHUP, then a second process that takes over from the first, then, if the hand-over is impossible, a drain and a
+restart.  Events enter with the current time in seconds; methods return actions, and the result of each action comes
+back as an event.
 """
 
 from __future__ import annotations
@@ -19,48 +21,48 @@
 
 
 class Phase(Enum):
-    """The node's processes."""
+    """State of the node's processes."""
 
     ABSENT = "absent"
     STARTING = "starting"
     SERVING = "serving"
     RELOADING = "reloading"
-    BESIDE = "beside"  # one serves, another starts beside it
-    DRAINING = "draining"  # one is sent away, to be started anew
+    BESIDE = "beside"  # one process serves while another starts beside it
+    DRAINING = "draining"  # the process loses its clients before a restart
 
 
 class Course(Enum):
-    """What the keeper is about."""
+    """State of the current change on this node."""
 
     SETTLED = "settled"
     TRYING = "trying"
     PROVING = "proving"
-    BACK = "going back"
-    HELD = "held"  # what is wanted does not start: a person is needed, and it is tried again at the ceiling
+    ROLLING_BACK = "going back"
+    HELD = "held"  # the wanted generation does not start: needs an operator; retried with the maximum backoff
 
 
 class Cause(Enum):
-    """What moves either."""
+    """Events that cause a transition of the phase or the course."""
 
     START = "start"
     READY = "ready"
     DIED = "died"
     RELOAD = "reload"
-    TAKEN = "settings taken"
-    TURNED_DOWN = "settings turned down"
-    SECOND = "second process"
+    SETTINGS_TAKEN = "settings taken"
+    SETTINGS_REJECTED = "settings turned down"
+    SECOND_STARTED = "second process"
     SECOND_FAILED = "second process failed"
     NO_HANDOVER = "no hand-over"
     DRAIN = "drain"
     ENDED = "ended"
-    CALLED_OFF = "called off"
-    TRY = "try"
-    BACK = "back"
+    DRAIN_CANCELLED = "called off"
+    TRIAL_ORDERED = "try"
+    ROLL_BACK = "back"
     CONFIRM = "confirm"
-    FAILED_TWICE = "failed twice"
-    SILENCE = "silence"
-    THERE = "there"
-    HOPELESS = "hopeless"
+    TRIAL_FAILED = "failed twice"
+    CONTACT_LOST = "silence"
+    ARRIVED = "there"
+    STARTS_EXHAUSTED = "hopeless"
 
 
 P, K, C = Phase, Course, Cause
@@ -70,79 +72,84 @@
     (P.STARTING, C.DIED): P.ABSENT,
     (P.SERVING, C.DIED): P.ABSENT,
     (P.SERVING, C.RELOAD): P.RELOADING,
-    (P.RELOADING, C.TAKEN): P.SERVING,
-    (P.RELOADING, C.TURNED_DOWN): P.SERVING,
+    (P.RELOADING, C.SETTINGS_TAKEN): P.SERVING,
+    (P.RELOADING, C.SETTINGS_REJECTED): P.SERVING,
     (P.RELOADING, C.DIED): P.ABSENT,
-    (P.SERVING, C.SECOND): P.BESIDE,
+    (P.SERVING, C.SECOND_STARTED): P.BESIDE,
     (P.BESIDE, C.READY): P.SERVING,
     (P.BESIDE, C.SECOND_FAILED): P.SERVING,
     (P.BESIDE, C.NO_HANDOVER): P.SERVING,
-    (P.BESIDE, C.DIED): P.STARTING,  # the first has died: the second is on its own
+    (P.BESIDE, C.DIED): P.STARTING,  # the first process died; the second continues alone
     (P.SERVING, C.DRAIN): P.DRAINING,
-    (P.DRAINING, C.CALLED_OFF): P.SERVING,
+    (P.DRAINING, C.DRAIN_CANCELLED): P.SERVING,
     (P.DRAINING, C.ENDED): P.ABSENT,
 }
 COURSES: dict[tuple[Course, Cause], Course] = {
-    (K.SETTLED, C.TRY): K.TRYING,
-    (K.HELD, C.TRY): K.TRYING,
+    (K.SETTLED, C.TRIAL_ORDERED): K.TRYING,
+    (K.HELD, C.TRIAL_ORDERED): K.TRYING,
     (K.TRYING, C.READY): K.PROVING,
-    (K.TRYING, C.FAILED_TWICE): K.BACK,
-    (K.TRYING, C.TURNED_DOWN): K.BACK,
-    (K.TRYING, C.NO_HANDOVER): K.BACK,  # and none other was allowed
-    (K.TRYING, C.BACK): K.BACK,
-    (K.TRYING, C.SILENCE): K.BACK,
-    (K.PROVING, C.FAILED_TWICE): K.BACK,
-    (K.PROVING, C.BACK): K.BACK,
-    (K.PROVING, C.SILENCE): K.BACK,
+    (K.TRYING, C.TRIAL_FAILED): K.ROLLING_BACK,
+    (K.TRYING, C.SETTINGS_REJECTED): K.ROLLING_BACK,
+    (K.TRYING, C.NO_HANDOVER): K.ROLLING_BACK,  # and the order allows no restart
+    (K.TRYING, C.ROLL_BACK): K.ROLLING_BACK,
+    (K.TRYING, C.CONTACT_LOST): K.ROLLING_BACK,
+    (K.PROVING, C.TRIAL_FAILED): K.ROLLING_BACK,
+    (K.PROVING, C.ROLL_BACK): K.ROLLING_BACK,
+    (K.PROVING, C.CONTACT_LOST): K.ROLLING_BACK,
     (K.PROVING, C.CONFIRM): K.SETTLED,
-    (K.SETTLED, C.BACK): K.BACK,
-    (K.HELD, C.BACK): K.BACK,
-    (K.BACK, C.BACK): K.BACK,
-    (K.BACK, C.THERE): K.SETTLED,
-    (K.BACK, C.HOPELESS): K.HELD,
-    (K.SETTLED, C.HOPELESS): K.HELD,
-    (K.HELD, C.THERE): K.SETTLED,
+    (K.SETTLED, C.ROLL_BACK): K.ROLLING_BACK,
+    (K.HELD, C.ROLL_BACK): K.ROLLING_BACK,
+    (K.ROLLING_BACK, C.ROLL_BACK): K.ROLLING_BACK,
+    (K.ROLLING_BACK, C.ARRIVED): K.SETTLED,
+    (K.ROLLING_BACK, C.STARTS_EXHAUSTED): K.HELD,
+    (K.SETTLED, C.STARTS_EXHAUSTED): K.HELD,
+    (K.HELD, C.ARRIVED): K.SETTLED,
 }
 
 
 class Order(msgspec.Struct, frozen=True):
-    """A trial as a change wants it.  Times in seconds."""
+    """A change's request for a trial.  Times in seconds.
+
+    ``silence``: whether the trial continues (``hold``) or is rolled back (``back``, in this node's ``slot``) after
+    ``silence_s`` without contact to a controller.
+    """
 
     change: str
     generation: str
     proving_s: float
-    restart: bool = True  # whether it may be drained and started anew where the hand-over can't be had
+    restart: bool = True  # whether the node may be drained and restarted if the hand-over is impossible
     silence: Literal["hold", "back"] = "hold"
     silence_s: float = 30.0
     slot: Slot | None = None
-    reload: bool = True  # whether settings alone may go by signal: that proves no start with them
+    reload: bool = True  # whether a change of settings alone may use SIGHUP, which does not prove a start with them
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Seconds, and starts in vain before a person is called."""
+    """Time-outs in seconds, and limits on failed starts."""
 
-    start: float = 20.0  # for a process to say yes
-    drain: float = 5.0  # for clients to go
+    start: float = 20.0  # until a started process is ready
+    drain: float = 5.0  # for clients to leave
     end: float = 8.0  # from SIGTERM to SIGKILL
     reload: float = 5.0
-    again: float = 1.0  # between two tries beside a process that serves
-    tries: int = 2
-    hopeless: int = 5
+    retry: float = 1.0  # between two starts beside a serving process
+    max_trial_failures: int = 2  # deaths or failed starts before a trial is abandoned
+    hopeless: int = 5  # consecutive failed starts of the wanted generation before an operator is needed
 
 
 class Proc(msgspec.Struct):
-    """A process: its generation, since when it runs, since when it serves (-1: not yet), and its SIGTERM (-1)."""
+    """A process.  Times in seconds: ``since`` its start, ``ready`` when it began to serve (-1: not yet),
+    ``terminated_at`` when SIGTERM was sent (-1: not yet).  ``killed``: SIGKILL was sent."""
 
     key: int
     generation: str
     since: float
     ready: float = -1.0
-    termed: float = -1.0
+    terminated_at: float = -1.0
     killed: bool = False
 
 
 class Start(msgspec.Struct, frozen=True):
-    """Start a process; ``beside``: with the hand-over, or not at all."""
+    """Start a process; ``beside``: it must take over from the serving one, or exit."""
 
     key: int
     generation: str
@@ -150,23 +157,31 @@
 
 
 class Term(msgspec.Struct, frozen=True):
+    """Send SIGTERM."""
+
     key: int
 
 
 class Kill(msgspec.Struct, frozen=True):
+    """Send SIGKILL."""
+
     key: int
 
 
 class Drain(msgspec.Struct, frozen=True):
+    """Fail the process's health check, so that clients leave it."""
+
     key: int
 
 
 class Undrain(msgspec.Struct, frozen=True):
+    """Cancel a drain."""
+
     key: int
 
 
 class Reload(msgspec.Struct, frozen=True):
-    """Give it this generation's settings."""
+    """Reload the process with the settings of this generation."""
 
     key: int
     generation: str
@@ -176,7 +191,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """How the last trial ended: ``confirmed`` or ``back``, and why."""
+    """Result of the last trial: ``confirmed`` or ``back`` (rolled back), and the reason."""
 
     change: str
     generation: str
@@ -185,26 +200,30 @@
 
 
 class Lasting(msgspec.Struct):
-    """What must survive the keeper: written before it is acted upon."""
+    """State that survives the keeper; it is saved before the keeper acts on it.  ``present`` is the confirmed
+    generation and ``before`` the previous one; empty if there is none."""
 
     present: str = ""
     before: str = ""
     order: Order | None = None
     course: Course = Course.SETTLED
-    deaths: int = 0  # of the trial, before it was proven
+    deaths: int = 0  # deaths and failed starts of the trial before it was proven
     outcome: Outcome | None = None
 
 
-Same = Callable[[str, str], bool]
-Say = Callable[[str, str, str, str], None]
+OnlySettings = Callable[[str, str], bool]
+TransitionListener = Callable[[str, str, str, str], None]
 
 
 class Core:
-    """The keeper's decisions.  ``only_settings(a, b)``: whether two generations differ in settings alone, or not at
-    all.  ``say(table, before, cause, after)`` hears of each transition."""
-
-    def __init__(self, timing: Timing, pauses: Pauses, only_settings: Same, say: Say) -> None:
-        self.timing, self.pauses, self.only_settings, self.say = timing, pauses, only_settings, say
+    """The keeper's decisions.  ``only_settings(a, b)``: whether two generations differ at most in their settings.
+    ``on_transition(table, before, cause, after)`` is called for each transition."""
+
+    def __init__(
+        self, timing: Timing, pauses: Pauses, only_settings: OnlySettings, on_transition: TransitionListener,
+    ) -> None:
+        self.timing, self.pauses, self.only_settings, self.on_transition = (
+            timing, pauses, only_settings, on_transition)
         self.lasting = Lasting()
         self.phase = Phase.ABSENT
         self.clock = Clock()
@@ -212,15 +231,15 @@
         self.serving: int | None = None
         self.coming: int | None = None
         self.next_key = 1
-        self.start_at = 0.0  # when an absent node may be started, or a second process
-        self.phase_at = 0.0
-        self.heard_at = 0.0
+        self.start_not_before = 0.0  # backoff: earliest start of an absent node or of a second process
+        self.phase_since = 0.0
+        self.last_contact_at = 0.0  # with a controller
         self.proving_until = -1.0
-        self.vain = 0  # starts of what is wanted, one after the other, that came to nothing
+        self.failed_starts = 0  # consecutive, of the wanted generation
         self.restarts = 0
-        self.no_handover = False  # what serves can't hand over to what is wanted
+        self.no_handover = False  # the serving process can't hand over to the wanted generation
         self.drained = False
-        self.out: list[Action] = []
+        self.pending_actions: list[Action] = []
 
     # ------------------------------------------------------------ reading
 
@@ -245,43 +264,44 @@
 
     @property
     def state(self) -> str:
-        """The state as people are shown it."""
+        """The state shown to operators: the phase, or the course while a trial is proven, rolled back or held."""
         return self.phase.value if self.course in (K.SETTLED, K.TRYING) else self.course.value
 
     def proved(self, now: float) -> bool:
-        """Whether the trial has served its proving time."""
+        """Whether the trial has served without interruption for its proving time."""
         return self.course is K.PROVING and self.phase is P.SERVING and 0 <= self.proving_until <= now
 
     # ------------------------------------------------------------ transitions
 
     def _phase(self, cause: Cause, now: float) -> None:
         after = PHASES[self.phase, cause]
-        self.say("phase", self.phase.value, cause.value, after.value)
-        self.phase, self.phase_at = after, now
+        self.on_transition("phase", self.phase.value, cause.value, after.value)
+        self.phase, self.phase_since = after, now
 
     def _course(self, cause: Cause) -> None:
         after = COURSES[self.course, cause]
-        self.say("course", self.course.value, cause.value, after.value)
+        self.on_transition("course", self.course.value, cause.value, after.value)
         self.lasting.course = after
 
-    def _act(self) -> list[Action]:
-        out, self.out = self.out, []
-        return out
+    def _take_actions(self) -> list[Action]:
+        actions, self.pending_actions = self.pending_actions, []
+        return actions
 
-    # ------------------------------------------------------------ a keeper's start
+    # ------------------------------------------------------------ start of a keeper
 
     def resume(self, lasting: Lasting, procs: list[Proc], serving: int | None, coming: int | None,
                now: float) -> None:
-        """Go on from what lasts and what was found to run.  All else that runs is to end.  A generation that serves
-        and of which nothing is known is on trial from now on; with nothing known at all it is the present one."""
+        """Continue from the durable state and the processes found running.  Processes that are neither serving nor
+        starting are terminated.  A serving generation that the state does not name is put on trial; without any state
+        it becomes the present one."""
         self.lasting = lasting
         self.procs = {p.key: p for p in procs}
         self.next_key = max(self.procs, default=0) + 1
         self.serving, self.coming = serving, coming
-        self.heard_at = self.phase_at = now
-        if not lasting.present and procs:  # nothing lasts: what runs, or starts, is what there is
-            known = serving if serving is not None else coming if coming is not None else procs[-1].key
-            lasting.present = self.procs[known].generation
+        self.last_contact_at = self.phase_since = now
+        if not lasting.present and procs:  # no durable state: adopt the running or starting generation
+            adopted = serving if serving is not None else coming if coming is not None else procs[-1].key
+            lasting.present = self.procs[adopted].generation
         if serving is not None:
             self.phase = P.BESIDE if coming is not None else P.SERVING
             running = self.running
@@ -294,38 +314,38 @@
             self.phase = P.STARTING
         else:
             self.phase = P.ABSENT
-            self.start_at = now + self.pauses.begin()
+            self.start_not_before = now + self.pauses.initial_delay()
         for p in procs:
             if p.key not in (serving, coming):
-                p.termed = now
-                self.out.append(Term(p.key))
+                p.terminated_at = now
+                self.pending_actions.append(Term(p.key))
 
     # ------------------------------------------------------------ commands
 
     def refusal(self, order: Order) -> str:
-        """Why a trial can't be taken now; empty if it can.  One that is under way may be replaced: whether two
-        changes may go on at once is the record's to say, and who leads the epoch's."""
-        if self.course is K.BACK:
+        """Why a trial can't start now; empty if it can.  A trial in progress may be replaced: the controllers' record
+        decides whether two changes may run at once, and the epoch decides who leads."""
+        if self.course is K.ROLLING_BACK:
             return "going back"
         if not self.lasting.present:
-            return "nothing runs that could be gone back to"
+            return "no generation to roll back to"
         return ""
 
-    def try_(self, order: Order, now: float) -> None:
-        """Take a trial that was not refused; ``advance`` acts on it, as with all commands."""
+    def begin_trial(self, order: Order, now: float) -> None:
+        """Accept a trial that was not refused.  As with all commands, ``advance`` then acts on it."""
         if self.trial == order.generation:
             self.lasting.order = order
             return
-        if self.trial:  # another generation in place of the one on trial
-            self._course(C.BACK)
-            self._course(C.THERE)
+        if self.trial:  # replaces another generation on trial
+            self._course(C.ROLL_BACK)
+            self._course(C.ARRIVED)
         self.lasting.order, self.lasting.deaths = order, 0
         self.lasting.outcome = None
-        self._new_goal(now)
-        self._course(C.TRY)
+        self._target_changed(now)
+        self._course(C.TRIAL_ORDERED)
 
     def confirm(self) -> bool:
-        """The trial is the present generation from now on; False where there is none that serves."""
+        """Make the generation on trial the present one; returns False unless it serves."""
         order = self.lasting.order
         if self.course is not K.PROVING or order is None or self.running != order.generation:
             return False
@@ -336,51 +356,51 @@
         self.lasting.order = None
         return True
 
-    def back(self, generation: str, reason: str, now: float) -> None:
-        """Go to a generation, whatever runs."""
+    def roll_back(self, generation: str, reason: str, now: float) -> None:
+        """Make ``generation`` the present one and move to it, whatever runs."""
         if generation != self.lasting.present:
             self.lasting.before, self.lasting.present = self.lasting.present, generation
         if self.trial:
-            self._give_up(C.BACK, reason, now)
+            self._abandon_trial(C.ROLL_BACK, reason, now)
         else:
-            self._course(C.BACK)
-            self._new_goal(now)
+            self._course(C.ROLL_BACK)
+            self._target_changed(now)
 
-    def hold(self) -> None:
-        """The trial stays through any silence from now on: the change is about to be confirmed."""
+    def pin(self) -> None:
+        """Let the trial continue without contact to a controller: the change is about to be confirmed."""
         order = self.lasting.order
         if order is not None:
             self.lasting.order = msgspec.structs.replace(order, silence="hold")
 
     def restore(self, lasting: Lasting, now: float) -> None:
-        """A command could not be written down: it was never taken.  A trial is to be proven anew."""
+        """Undo a command that could not be saved.  A trial's proving time starts again."""
         self.lasting = lasting
-        self._new_goal(now)
+        self._target_changed(now)
         if self.course is K.PROVING and lasting.order is not None:
             self.proving_until = now + lasting.order.proving_s
 
     def heard(self, clock: float, now: float) -> None:
-        """A word of the controller."""
-        self.heard_at = now
-        self.clock.told(clock, now)
+        """Record contact with a controller; ``clock``: the time on the clock of the change."""
+        self.last_contact_at = now
+        self.clock.update(clock, now)
 
-    def _new_goal(self, now: float) -> None:
-        self.vain, self.no_handover, self.proving_until = 0, False, -1.0
-        self.start_at = min(self.start_at, now)
+    def _target_changed(self, now: float) -> None:
+        self.failed_starts, self.no_handover, self.proving_until = 0, False, -1.0
+        self.start_not_before = min(self.start_not_before, now)
 
-    # ------------------------------------------------------------ what happens to processes
+    # ------------------------------------------------------------ events of processes
 
     def ready(self, key: int, now: float) -> list[Action]:
-        """A process says yes."""
+        """A started process passed its health check."""
         p = self.procs.get(key)
         if p is None or key != self.coming or p.killed:
             return []
         p.ready = now
-        first, self.serving, self.coming = self.serving, key, None
+        previous, self.serving, self.coming = self.serving, key, None
         self._phase(C.READY, now)
-        if first is not None:
-            self._end(first, now)
-        self.vain = 0
+        if previous is not None:
+            self._terminate(previous, now)
+        self.failed_starts = 0
         self.no_handover = False
         if p.generation == self.trial:
             if self.course is K.TRYING:
@@ -390,7 +410,7 @@
         return self.advance(now)
 
     def ended(self, key: int, no_handover: bool, now: float) -> list[Action]:
-        """A process is gone; ``no_handover``: it says that it could not start beside the one that serves."""
+        """A process has exited; ``no_handover``: its exit status says that it could not take over."""
         p = self.procs.pop(key, None)
         if p is None:
             return []
@@ -398,73 +418,73 @@
             self.coming = None
             if self.serving is None:
                 self._phase(C.DIED, now)
-                self._vain(p, now)
+                self._start_failed(p, now)
             elif no_handover:
                 self._phase(C.NO_HANDOVER, now)
-                self._without_handover(now)
+                self._handover_failed(now)
             else:
                 self._phase(C.SECOND_FAILED, now)
-                self.start_at = now + self.timing.again
-                self._vain(p, now)
+                self.start_not_before = now + self.timing.retry
+                self._start_failed(p, now)
         elif key == self.serving:
             self.serving = None
-            self._lost(p, now)
+            self._serving_exited(p, now)
         return self.advance(now)
 
-    def _lost(self, p: Proc, now: float) -> None:
-        """The process that served is gone."""
+    def _serving_exited(self, p: Proc, now: float) -> None:
         if self.phase is P.DRAINING:
             self._phase(C.ENDED, now)
-            self.start_at = now
+            self.start_not_before = now
             return
         self.restarts += 1
-        lived = now - p.ready if p.ready >= 0 else 0.0
-        pause = self.pauses.died(lived)
+        served_s = now - p.ready if p.ready >= 0 else 0.0
+        delay = self.pauses.restart_delay(served_s)
         if p.generation == self.trial and not 0 <= self.proving_until <= now:
-            self._trial_died(now)
+            self._trial_failed(now)
         self._phase(C.DIED, now)
         if self.phase is P.ABSENT:
-            self.start_at = now + pause
+            self.start_not_before = now + delay
 
-    def _trial_died(self, now: float) -> None:
+    def _trial_failed(self, now: float) -> None:
         self.lasting.deaths += 1
-        if self.lasting.deaths >= self.timing.tries:
-            self._give_up(C.FAILED_TWICE, f"died or failed to start {self.lasting.deaths} times", now)
+        if self.lasting.deaths >= self.timing.max_trial_failures:
+            self._abandon_trial(C.TRIAL_FAILED, f"died or failed to start {self.lasting.deaths} times", now)
 
-    def _give_up(self, cause: Cause, reason: str, now: float) -> None:
-        """Leave the trial."""
+    def _abandon_trial(self, cause: Cause, reason: str, now: float) -> None:
+        """End the trial and return to the present generation."""
         order = self.lasting.order
         assert order is not None
         self.lasting.outcome = Outcome(order.change, order.generation, "back", reason)
         self._course(cause)
         self.lasting.order = None
-        self._new_goal(now)
+        self._target_changed(now)
 
-    def _vain(self, p: Proc, now: float) -> None:
-        """A start has come to nothing."""
-        self.vain += 1
+    def _start_failed(self, p: Proc, now: float) -> None:
+        """A process exited before it was ready."""
+        self.failed_starts += 1
         if self.phase is P.ABSENT:
-            self.start_at = now if p.killed and p.generation != self.wanted else now + self.pauses.died(0.0)
+            self.start_not_before = (now if p.killed and p.generation != self.wanted
+                                     else now + self.pauses.restart_delay(0.0))
         if p.generation == self.trial:
-            self._trial_died(now)
-        elif self.vain >= self.timing.hopeless and self.course in (K.BACK, K.SETTLED):
-            self._course(C.HOPELESS)
+            self._trial_failed(now)
+        elif self.failed_starts >= self.timing.hopeless and self.course in (K.ROLLING_BACK, K.SETTLED):
+            self._course(C.STARTS_EXHAUSTED)
 
-    def _without_handover(self, now: float) -> None:
+    def _handover_failed(self, now: float) -> None:
         order = self.lasting.order
         if self.trial and order is not None and not order.restart:
-            self._give_up(C.NO_HANDOVER, "no hand-over, and no restart allowed", now)
+            self._abandon_trial(C.NO_HANDOVER, "no hand-over, and the order allows no restart", now)
         else:
             self.no_handover = True
 
     def reloaded(self, key: int, taken: bool, reason: str, now: float) -> list[Action]:
-        """A process has taken new settings, or not."""
+        """A reload ended; ``taken``: whether the process applied the new settings."""
         if key != self.serving or self.phase is not P.RELOADING:
             return []
         p = self.procs[key]
         wanted = self.wanted
         if taken:
-            self._phase(C.TAKEN, now)
+            self._phase(C.SETTINGS_TAKEN, now)
             p.generation = wanted
             if wanted == self.trial:
                 if self.course is K.TRYING:
@@ -472,98 +492,100 @@
                 order = self.lasting.order
                 self.proving_until = now + (order.proving_s if order is not None else 0.0)
             return self.advance(now)
-        self._phase(C.TURNED_DOWN, now)
+        self._phase(C.SETTINGS_REJECTED, now)
         if wanted == self.trial and self.course is K.TRYING:
-            self._give_up(C.TURNED_DOWN, f"settings turned down: {reason}", now)
+            self._abandon_trial(C.SETTINGS_REJECTED, f"settings turned down: {reason}", now)
         else:
-            self.no_handover = True  # going back must not rest on a process that takes nothing
+            self.no_handover = True  # a rollback must not depend on a process that rejects settings
         return self.advance(now)
 
     def drained_(self, key: int, now: float) -> list[Action]:
-        """Its clients have gone, or it can't be asked."""
+        """A drain ended: the process has no requests left, or does not answer."""
         if key == self.serving and self.phase is P.DRAINING:
             self.drained = True
         return self.advance(now)
 
-    def unwell(self, key: int, now: float) -> None:
-        """What serves did not answer just now: time in which it does not is no proof of a trial."""
+    def health_check_failed(self, key: int, now: float) -> None:
+        """The serving process did not answer a poll: the proving time of a trial starts again."""
         order = self.lasting.order
         if key == self.serving and self.course is K.PROVING and order is not None:
             self.proving_until = now + order.proving_s
 
-    def silent(self, key: int, now: float) -> list[Action]:
-        """What serves answers nothing any more: a trial that is not proven yet is ended for it."""
+    def unresponsive(self, key: int, now: float) -> list[Action]:
+        """The serving process has stopped answering: it is killed if it is a trial that is not proven yet."""
         p = self.procs.get(key)
         if p is not None and key == self.serving and self.course is K.PROVING and not self.proved(now):
             self._kill(p)
         return self.advance(now)
 
-    # ------------------------------------------------------------ the way to what is wanted
+    # ------------------------------------------------------------ moving to the wanted generation
 
-    def _end(self, key: int, now: float) -> None:
+    def _terminate(self, key: int, now: float) -> None:
         p = self.procs[key]
-        if p.termed < 0:
-            p.termed = now
-            self.out.append(Term(key))
+        if p.terminated_at < 0:
+            p.terminated_at = now
+            self.pending_actions.append(Term(key))
 
     def _kill(self, p: Proc) -> None:
         if not p.killed:
             p.killed = True
-            self.out.append(Kill(p.key))
+            self.pending_actions.append(Kill(p.key))
 
     def _start(self, beside: bool, now: float) -> None:
         key, self.next_key = self.next_key, self.next_key + 1
         self.procs[key] = Proc(key, self.wanted, now)
         self.coming = key
-        self._phase(C.SECOND if beside else C.START, now)
-        self.out.append(Start(key, self.wanted, beside))
+        self._phase(C.SECOND_STARTED if beside else C.START, now)
+        self.pending_actions.append(Start(key, self.wanted, beside))
 
     def advance(self, now: float) -> list[Action]:
-        """What is to be done by now; also called as time goes by."""
+        """Actions due now.  Called after each event and periodically."""
         t = self.timing
-        self._silence(now)
+        self._check_contact(now)
         for p in self.procs.values():
-            if 0 <= p.termed <= now - t.end:
+            if 0 <= p.terminated_at <= now - t.end:
                 self._kill(p)
         if self.coming is not None and (coming := self.procs[self.coming]):
             if now - coming.since > t.start or coming.generation != self.wanted:
                 self._kill(coming)
         if self.serving is not None and (serving := self.procs[self.serving]).ready >= 0:
-            self.pauses.served(now - serving.ready)
+            self.pauses.note_uptime(now - serving.ready)
         if self.phase is P.ABSENT:
-            if now >= self.start_at and self.wanted and not self._ending():
+            if now >= self.start_not_before and self.wanted and not self._has_leftover():
                 self._start(False, now)
         elif self.phase is P.DRAINING and self.serving is not None:
             p = self.procs[self.serving]
-            if p.generation == self.wanted and p.termed < 0:
-                self._phase(C.CALLED_OFF, now)
-                self.out.append(Undrain(p.key))
-                self._serve(p.key, now)
-            elif self.drained or now - self.phase_at > t.drain:
-                self._end(p.key, now)
+            if p.generation == self.wanted and p.terminated_at < 0:
+                self._phase(C.DRAIN_CANCELLED, now)
+                self.pending_actions.append(Undrain(p.key))
+                self._converge(p.key, now)
+            elif self.drained or now - self.phase_since > t.drain:
+                self._terminate(p.key, now)
         elif self.phase is P.SERVING and self.serving is not None:
-            self._serve(self.serving, now)
-        return self._act()
+            self._converge(self.serving, now)
+        return self._take_actions()
 
-    def _serve(self, key: int, now: float) -> None:
+    def _converge(self, key: int, now: float) -> None:
+        """Start to replace the serving process if its generation is not the wanted one."""
         running = self.procs[key].generation
         if running == self.wanted:
-            if self.course in (K.BACK, K.HELD):
-                self._course(C.THERE)
-            elif self.course is K.TRYING:  # it had been there all along
+            if self.course in (K.ROLLING_BACK, K.HELD):
+                self._course(C.ARRIVED)
+            elif self.course is K.TRYING:  # the generation was already running
                 self._course(C.READY)
                 order = self.lasting.order
                 self.proving_until = now + (order.proving_s if order is not None else 0.0)
             return
-        if now < self.start_at or self._ending() or self.procs[key].termed >= 0 or self.procs[key].killed:
+        if (now < self.start_not_before or self._has_leftover()
+                or self.procs[key].terminated_at >= 0 or self.procs[key].killed):
             return
         if self.no_handover:
             self.drained = False
             self._phase(C.DRAIN, now)
-            self.out.append(Drain(key))
+            self.pending_actions.append(Drain(key))
         elif self._may_reload() and self.only_settings(running, self.wanted):
             self._phase(C.RELOAD, now)
-            self.out.append(Reload(key, self.wanted))
+            self.pending_actions.append(Reload(key, self.wanted))
         else:
             self._start(True, now)
 
@@ -571,15 +593,18 @@
         order = self.lasting.order
         return order is None or not self.trial or order.reload
 
-    def _ending(self) -> bool:
-        """Whether a process that is neither serving nor coming still runs: it holds an operators' address."""
+    def _has_leftover(self) -> bool:
+        """Whether a process that is neither serving nor starting still runs: it occupies an operators' address."""
         return any(key not in (self.serving, self.coming) for key in self.procs)
 
-    def _silence(self, now: float) -> None:
-        """Nobody leads: what the change has said for that."""
+    def _check_contact(self, now: float) -> None:
+        """Roll a trial back if no controller is reachable and the order asks for it; waits for the node's slot, if it
+        has one."""
         order = self.lasting.order
-        if not self.trial or order is None or order.silence != "back" or now - self.heard_at < order.silence_s:
+        if (not self.trial or order is None or order.silence != "back"
+                or now - self.last_contact_at < order.silence_s):
             return
         clock = self.clock.read(now)
         if order.slot is None or clock is None or order.slot.open(clock):
-            self._give_up(C.SILENCE, f"no controller heard for {now - self.heard_at:.0f} s", now)
+            self._abandon_trial(
+                C.CONTACT_LOST, f"no contact with a controller for {now - self.last_contact_at:.0f} s", now)
--- a/headspar/keeper/fence.py
+++ b/headspar/keeper/fence.py
@@ -1,8 +1,8 @@
-"""Which commands count: those of the highest epoch heard of, each step once; without I/O.
+"""Fencing of commands: only the highest epoch seen is accepted, and each step is executed once.  No I/O.
 
-An epoch is a controller's turn at the lease; a step is its record's running number.  What a keeper has taken lasts
-on its disk before it acts, so a controller that slept through its lease, a command that was held up on the way and
-one that comes twice can do nothing more.
+The epoch is the fencing token of a controller's lease; the step is a sequence number from the controllers' record.
+A keeper persists both before it acts.  Commands from a controller whose lease has expired, delayed commands and
+duplicates therefore have no effect.
 """
 
 from __future__ import annotations
@@ -14,21 +14,23 @@
 
 
 class Verdict(Enum):
+    """Result of checking a command against the fence."""
+
     NEW = "new"
-    AGAIN = "again"  # answered as the first time
-    FENCED = "fenced"  # of an epoch that is over
-    OLD = "old"  # a step before one that was taken
+    AGAIN = "again"  # duplicate of the last step: gets the same answer
+    FENCED = "fenced"  # from an expired epoch
+    OLD = "old"  # a step before the last accepted one
 
 
 class Fence(msgspec.Struct):
-    """The highest epoch heard of, and the last step taken with its answer."""
+    """The highest epoch seen, the last step accepted, and the answer to that step."""
 
     epoch: int = 0
     step: int = 0
     answer: dict[str, Any] | None = None
 
     def judge(self, epoch: int, step: int) -> Verdict:
-        """``step`` 0: a word without an effect of its own, which may come as often as it likes."""
+        """Check a command; ``step`` 0 marks one without effect, which may be repeated."""
         if epoch < self.epoch:
             return Verdict.FENCED
         if step == 0:
@@ -38,7 +40,7 @@
         return Verdict.NEW if step > self.step else Verdict.OLD
 
     def take(self, epoch: int, step: int, answer: dict[str, Any] | None) -> Fence:
-        """The fence after a command that was judged new."""
+        """The fence after accepting a command that was judged new."""
         if step == 0:
             return Fence(epoch, self.step, self.answer)
         return Fence(epoch, step, answer)
--- a/headspar/keeper/generations.py
+++ b/headspar/keeper/generations.py
@@ -1,7 +1,7 @@
-"""The generations on a machine: folders named by their digest, copied whole or not at all, never changed in place.
+"""The generations (releases) on a machine: immutable folders named by their digest and copied atomically.
 
-A generation holds ``program/headspar/`` (the package), ``settings.json`` (the settings object) and, where there is
-one, ``operator.toml``.
+A generation contains ``program/headspar/`` (the package), ``settings.json`` (the settings object) and, optionally,
+``operator.toml``.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from headspar.failpoints import failpoint
 from headspar.identity import SKIPPED, settings_digest, tree_digest
 
-MOST_BYTES = 512 << 20
+MAX_BYTES = 512 << 20  # of one generation
 
 
 class GenerationError(Exception):
-    """A generation that can't be had; the text is one plain line."""
+    """A generation is invalid or can't be copied; the text is a single line."""
 
 
 def is_name(text: str) -> bool:
-    """Whether it can be a generation's name: a SHA-256 in hexadecimal."""
+    """Whether the text has the form of a generation's name: a SHA-256 in lower-case hexadecimal."""
     return len(text) == 64 and all(c in "0123456789abcdef" for c in text)
 
 
 def check(folder: Path) -> None:
-    """Whether a folder has what a generation needs; ``GenerationError`` if not."""
+    """``GenerationError`` unless the folder contains the parts of a generation."""
     if not (folder / "program" / "headspar" / "__main__.py").is_file():
         raise GenerationError(f"{folder}: needs program/headspar")
     try:
@@ -42,7 +42,7 @@
 
 
 def digest(folder: Path) -> str:
-    """A folder's name as a generation; ``GenerationError`` if it is none."""
+    """The name of a folder as a generation; ``GenerationError`` if it is not a valid one."""
     check(folder)
     try:
         return tree_digest(folder)
@@ -51,7 +51,7 @@
 
 
 class Store:
-    """The generations that lie on this machine."""
+    """The generations stored on this machine, one folder each."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -68,10 +68,10 @@
         return is_name(name) and self.path(name).is_dir()
 
     def fetch(self, source: Path, name: str) -> None:
-        """Copy a folder whose digest must be ``name``.  What lies there under that name already is kept if it is
-        whole, else replaced."""
+        """Copy a folder whose digest must be ``name``.  An existing copy is kept if its digest matches, and replaced
+        otherwise.  ``GenerationError`` if it can't be copied."""
         if not is_name(name):
-            raise GenerationError(f"{name[:80]!r}: no generation's name")
+            raise GenerationError(f"{name[:80]!r}: not a generation name")
         new = self.folder / f".{name}.{os.getpid()}"
         try:
             if self.path(name).is_dir():
@@ -83,7 +83,7 @@
             check(new)
             found = tree_digest(new)
             if found != name:
-                raise GenerationError(f"{source}: is {found[:12]}, not {name[:12]}")
+                raise GenerationError(f"{source}: digest is {found[:12]}, not {name[:12]}")
             failpoint("keeper.fetched")
             new.rename(self.path(name))
             _sync(self.folder)
@@ -93,21 +93,21 @@
             shutil.rmtree(new, ignore_errors=True)
 
     def _clean(self) -> None:
-        """What copies that were cut off have left."""
+        """Remove the remains of interrupted copies."""
         for path in self.folder.iterdir():
             if path.name.startswith("."):
                 shutil.rmtree(path, ignore_errors=True)
 
     def keep(self, names: set[str]) -> None:
-        """Remove all others."""
+        """Remove all generations but these."""
         for name in self.names():
             if name not in names:
-                gone = self.folder / f".gone-{name}"
+                discarded = self.folder / f".gone-{name}"
                 try:
-                    self.path(name).rename(gone)
+                    self.path(name).rename(discarded)
                 except OSError:
                     continue
-                shutil.rmtree(gone, ignore_errors=True)
+                shutil.rmtree(discarded, ignore_errors=True)
                 self._programs.pop(name, None)
 
     def settings(self, name: str) -> dict[str, Any]:
@@ -117,7 +117,7 @@
         return settings
 
     def program(self, name: str) -> tuple[str, str, str]:
-        """Digests of the package, the operator's file and the settings."""
+        """Digest of the package, text of the operator's file, digest of the settings."""
         if name not in self._programs:
             folder = self.path(name)
             operator = folder / "operator.toml"
@@ -128,7 +128,7 @@
         return self._programs[name]
 
     def only_settings(self, one: str, other: str) -> bool:
-        """Whether two generations differ in nothing but their settings; False where that can't be told."""
+        """Whether two generations differ at most in their settings; False if one can't be read."""
         try:
             return self.program(one)[:2] == self.program(other)[:2]
         except (OSError, GenerationError):
@@ -136,7 +136,7 @@
 
 
 def _copy(source: Path, target: Path) -> None:
-    """All files below, each on the disk before it counts."""
+    """Copy a tree, syncing each file and folder to disk; leaves out symbolic links and compiled files."""
     size = 0
     target.mkdir()
     for at, folders, names in os.walk(source):
@@ -148,8 +148,8 @@
             if name.endswith(".pyc") or path.is_symlink() or not path.is_file():
                 continue
             size += path.stat().st_size
-            if size > MOST_BYTES:
-                raise GenerationError(f"{source}: more than {MOST_BYTES >> 20} MB")
+            if size > MAX_BYTES:
+                raise GenerationError(f"{source}: larger than {MAX_BYTES >> 20} MB")
             with path.open("rb") as old, (to / name).open("wb") as new:
                 shutil.copyfileobj(old, new)
                 new.flush()
--- a/headspar/keeper/messages.py
+++ b/headspar/keeper/messages.py
@@ -1,4 +1,4 @@
-"""What a controller says to a keeper, and what comes back: one line of JSON each way on a connection of its own."""
+"""Protocol between controllers and keepers: per connection one request and one reply, each a line of JSON."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 from headspar.keeper.core import Order, Outcome
 
-MAX_LINE = 64 * 1024
+MAX_LINE = 64 * 1024  # bytes
 
 
-DOWN_S = 2.0  # without an answer to its keeper, some looks of it, a node counts as serving nobody
+DOWN_S = 2.0  # a node counts as down after this time without an answer to its keeper; covers several polls
 
 
 class Word(msgspec.Struct, frozen=True, kw_only=True, tag_field="say"):
-    """``epoch``: the controller's turn.  ``clock``: seconds of the change.  ``node``: whom it is meant for, as an
-    address may have become another's."""
+    """Base of a controller's commands.
+
+    ``epoch``: fencing token of the controller's lease.  ``clock``: seconds on the clock of the change.  ``node``: the
+    addressee, since an address may have been reassigned to another node.
+    """
 
     node: str
     epoch: int
@@ -24,64 +27,66 @@
 
 
 class Touch(Word, frozen=True, tag="touch"):
-    """The controller is there.  It may come as often as it likes."""
+    """Heartbeat of the controller; may be repeated."""
 
 
 class Fetch(Word, frozen=True, tag="fetch"):
-    """Copy a generation from a path on this machine."""
+    """Copy a generation from a path on the keeper's machine."""
 
     generation: str
     path: str
 
 
 class Step(Word, frozen=True):
-    """A word with an effect; ``step``: the record's running number."""
+    """A command that changes the keeper's state; ``step``: its sequence number in the controllers' record."""
 
     step: int
 
 
 class Try(Step, frozen=True, tag="try"):
-    """``down``: only while the node serves nobody, as no limit was kept for it."""
+    """Start a trial.  ``down``: only while the node is not serving, since the controller did not count it against
+    the limits."""
 
     order: Order
     down: bool = False
 
 
-class About(Step, frozen=True):
-    """One about a generation.  Which change a trial belongs to is no condition: the epoch says who leads, and a
-    change whose record was lost must be taken over by the next one."""
+class GenerationStep(Step, frozen=True):
+    """Base of steps that name a generation.  The change that a trial belongs to is not checked: the epoch already
+    identifies the leader, and the next change must be able to take over one whose record was lost."""
 
     generation: str
 
 
-class Confirm(About, frozen=True, tag="confirm"):
-    """The trial is the present generation from now on."""
+class Confirm(GenerationStep, frozen=True, tag="confirm"):
+    """Make the generation on trial the present one."""
 
 
-class Hold(About, frozen=True, tag="hold"):
-    """The trial stays through any silence from now on."""
+class Hold(GenerationStep, frozen=True, tag="hold"):
+    """Pin the trial: from now on it continues while no controller is reachable."""
 
 
-class Back(About, frozen=True, tag="back"):
-    """Go to a generation, whatever runs; ``down`` as with ``Try``."""
+class Back(GenerationStep, frozen=True, tag="back"):
+    """Roll back to a generation, whatever runs; ``down`` as in ``Try``."""
 
     reason: str
     down: bool = False
 
 
 class Ask(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="status"):
-    """What is the state?  Anybody may ask; it counts as no controller's word."""
+    """Query the status.  Needs no lease and does not count as contact with a controller."""
 
 
 class Measure(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="measure"):
-    """What has the node done since its process began?  The answer brings ``Work``; anybody may ask."""
+    """Query the node's totals since its process started; the reply contains ``Work``.  Needs no lease."""
 
 
 Message = Touch | Fetch | Try | Confirm | Hold | Back | Ask | Measure
 
 
 class Work(msgspec.Struct, frozen=True):
-    """As the node's ``GET /work`` says; ``generation`` as its keeper knows it: settings may be newer than a start."""
+    """The node's ``GET /work``, with the ``generation`` known to its keeper: the settings may have been reloaded
+    since the process started."""
 
     process: str
     up_s: float
@@ -91,20 +96,20 @@
 
 
 class Figures(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The node's own, as last read: counts since its process began."""
+    """The node's figures from the last poll; counts are totals since its process started."""
 
     success: int = 0
     overload: int = 0
     error: int = 0
     concurrent: int = 0
-    rate: float = 0.0  # requests answered a second, between the last two readings
+    rate: float = 0.0  # answers per second between the last two polls
     servers: int = 0
     cold: int = 0
     disabled: int = 0
 
 
 class Status(msgspec.Struct, frozen=True):
-    """A keeper and its node.  Ages in seconds."""
+    """State of a keeper and its node.  Ages and durations are in seconds."""
 
     name: str
     site: str
@@ -114,28 +119,30 @@
     before: str
     trial: str
     change: str
-    running: str  # the generation that serves; empty: none does
+    running: str  # the generation that serves; empty if none does
     proved: bool
-    holds: bool  # whether the trial stays through a controller's silence
+    holds: bool  # whether the trial continues while no controller is reachable
     deaths: int
     restarts: int
     epoch: int
     step: int
     outcome: Outcome | None
     generations: list[str]
-    answers: bool  # whether the node answered its keeper when it was last asked
+    answers: bool  # whether the node answered the keeper's last poll
     figures_age: float
     figures: Figures
     pid: int
     program: str
     settings: str
     fetching: bool = False
-    keeper: float = 0.0  # when this keeper began; with it ``serial`` orders what it has said
+    keeper: float = 0.0  # Unix time of the keeper's start; orders statuses together with ``serial``
     serial: int = 0
-    silent: float = 0.0  # for how long the node has not answered its keeper
+    silent: float = 0.0  # time since the node stopped answering its keeper
 
 
 class Reply(msgspec.Struct, frozen=True):
+    """A keeper's answer; ``why``: the reason of a refusal, else empty."""
+
     ok: bool
     why: str
     status: Status | None
@@ -143,7 +150,7 @@
 
 
 def decode(line: bytes) -> Message:
-    """``msgspec.MsgspecError`` for anything else."""
+    """Decode a request line; ``msgspec.MsgspecError`` if it is not one of the messages."""
     message: Message = msgspec.json.decode(line, type=Message)
     return message
 
--- a/headspar/keeper/pauses.py
+++ b/headspar/keeper/pauses.py
@@ -1,6 +1,6 @@
-"""When what has died is started again: growing, drawn and with a ceiling; without I/O or clock.
+"""Restart backoff: exponential with jitter and a ceiling.  No I/O, no clock.
 
-Nodes of one host or site that die together draw each for itself, so that they don't come back in step.
+Each node draws its own delay, so that nodes of one host or site that fail together don't restart in step.
 """
 
 from __future__ import annotations
@@ -11,37 +11,38 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseSettings:
-    """Seconds.  ``spread``: within it the first start after long health is drawn."""
+    """Times in seconds.  ``spread``: upper end of the random delay before the first start and before the first
+    restart after a long healthy run."""
 
     first: float = 0.25
     ceiling: float = 30.0
     spread: float = 0.5
-    healthy: float = 60.0  # after so long a node's earlier deaths are forgotten
+    healthy: float = 60.0  # a run of this length resets the backoff
 
 
 class Pauses:
-    """The deaths in a row of one node."""
+    """Backoff state of one node: its consecutive failures."""
 
     def __init__(self, settings: PauseSettings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.deaths = 0
+        self.failures = 0
 
-    def died(self, lived: float) -> float:
-        """Seconds until the next start, after a process that had served for ``lived`` seconds (0: never)."""
+    def restart_delay(self, served_s: float) -> float:
+        """Seconds until the next start, after a process that had served for ``served_s`` seconds (0: never ready)."""
         s = self.settings
-        if lived >= s.healthy:
-            self.deaths = 0
-        self.deaths += 1
-        if self.deaths == 1:
-            return self.begin()
-        grown = min(s.ceiling, s.spread + s.first * 2.0 ** min(30, self.deaths - 2))
-        return grown * self.rng.uniform(0.25, 1.0)
-
-    def begin(self) -> float:
-        """Seconds until the start of a node that has not run before: a machine's own start is no death."""
+        if served_s >= s.healthy:
+            self.failures = 0
+        self.failures += 1
+        if self.failures == 1:
+            return self.initial_delay()
+        delay = min(s.ceiling, s.spread + s.first * 2.0 ** min(30, self.failures - 2))
+        return delay * self.rng.uniform(0.25, 1.0)
+
+    def initial_delay(self) -> float:
+        """Seconds until the first start on a machine, which is not counted as a failure."""
         return self.rng.uniform(0, self.settings.spread)
 
-    def served(self, lived: float) -> None:
-        """It serves, since ``lived`` seconds."""
-        if lived >= self.settings.healthy:
-            self.deaths = 0
+    def note_uptime(self, served_s: float) -> None:
+        """Reset the backoff once the running process has served for long enough."""
+        if served_s >= self.settings.healthy:
+            self.failures = 0
--- a/headspar/keeper/processes.py
+++ b/headspar/keeper/processes.py
@@ -1,7 +1,7 @@
-"""Starts of a node's processes, and signals to them: only to what is proven to be the process that was started.
+"""Starts the node's processes and sends signals to them, but only to a process whose identity is verified.
 
-A pid alone proves nothing: it may be another process's by now.  A handle is a pidfd (pidfd_open(2)) taken first and
-checked against pid, start and boot afterwards; what is signalled through it can be no other process.
+A pid is not sufficient, as the kernel may have reused it.  A handle opens a pidfd (pidfd_open(2)) first and compares
+the process's start time and boot afterwards, so signals sent through it can't reach another process.
 """
 
 from __future__ import annotations
@@ -15,25 +15,27 @@
 
 from headspar.identity import boot_id, start_ticks
 
-# A process begins only once its pid lies on the keeper's disk: it waits for a byte, and ends if the keeper does.
-LAUNCH = (
+# The launcher executes the command only after the keeper has saved its pid: it waits for a byte on standard input,
+# and exits if the keeper ends before that.
+LAUNCHER = (
     "import os, sys\n"
     "if not os.read(0, 1): sys.exit(3)\n"
     "null = os.open('/dev/null', os.O_RDWR); os.dup2(null, 0); os.close(null)\n"
     "os.execv(sys.argv[1], sys.argv[1:])\n"
 )
-LOG_BYTES = 8 << 20
+LOG_ROTATE_BYTES = 8 << 20
 
 
 class Handle:
-    """One process, proven; ``close`` gives the descriptor back."""
+    """A process with verified identity.  ``started``: start time in clock ticks since boot; ``fd``: its pidfd, closed
+    by ``close``; ``child``: set if this keeper started it."""
 
     def __init__(self, pid: int, started: int, fd: int, child: subprocess.Popen[bytes] | None = None) -> None:
         self.pid, self.started, self.fd, self.child = pid, started, fd, child
 
     @classmethod
     def find(cls, pid: int, started: int, boot: str) -> Handle | str:
-        """The process, or why it is not the one."""
+        """Open a handle for a recorded process; returns the reason as text if it is gone or another one."""
         if pid <= 1 or not started or boot != boot_id():
             return "of another boot"
         try:
@@ -42,7 +44,7 @@
             return error.strerror or "gone"
         if start_ticks(pid) != started or os.stat(f"/proc/{pid}").st_uid != os.getuid():
             os.close(fd)
-            return "the pid is another process's"
+            return "the pid belongs to another process"
         return cls(pid, started, fd)
 
     def signal(self, number: signal.Signals) -> None:
@@ -50,7 +52,7 @@
             signal.pidfd_send_signal(self.fd, number)
 
     def status(self) -> int:
-        """After its end: its exit status; -1 where it is not known, as it was another keeper's child."""
+        """Exit status after the process has ended; -1 if unknown, as for a process started by an earlier keeper."""
         if self.child is None:
             return -1
         with contextlib.suppress(subprocess.TimeoutExpired):
@@ -65,20 +67,20 @@
 
 
 def prepare(command: list[str], environ: dict[str, str], folder: Path, log: Path) -> Handle:
-    """A process that waits for ``go`` before it becomes ``command``; ``OSError`` if there can be none."""
+    """Start a launcher that executes ``command`` after ``go``; ``OSError`` if that fails.  Rotates the log first."""
     with contextlib.suppress(OSError):
-        if log.stat().st_size > LOG_BYTES:
+        if log.stat().st_size > LOG_ROTATE_BYTES:
             log.replace(log.with_name(log.name + ".1"))
     with log.open("ab") as out:
         child = subprocess.Popen(
-            [sys.executable, "-I", "-S", "-c", LAUNCH, *command], env=environ, cwd=folder, stdin=subprocess.PIPE,
+            [sys.executable, "-I", "-S", "-c", LAUNCHER, *command], env=environ, cwd=folder, stdin=subprocess.PIPE,
             stdout=out, stderr=out, start_new_session=True,
         )
     return Handle(child.pid, start_ticks(child.pid), os.pidfd_open(child.pid), child)
 
 
 def go(handle: Handle) -> None:
-    """It may begin: what must be known of it is on the disk."""
+    """Let a prepared process execute its command; call this once its record is on disk."""
     assert handle.child is not None and handle.child.stdin is not None
     with contextlib.suppress(OSError):
         handle.child.stdin.write(b"g")
--- a/headspar/keeper/slots.py
+++ b/headspar/keeper/slots.py
@@ -1,9 +1,9 @@
-"""Who may move when nobody leads: drawn slots over the fleet's size, in the change's own time; without I/O or clock.
+"""Time slots for nodes that roll back while no controller is reachable.  No I/O, no clock.
 
-Keepers that can't hear each other can't count how many of them are out.  So the change gives each a slot before it
-moves anything: a slot holds at most as many nodes as may be out at once, in all and by site, and the same slot comes
-round again after all others.  Time is the change's, told with every word of the controller.  A word that was held up
-makes a keeper's time too small, never too large, so the largest reading is the truest one.
+Keepers don't communicate with each other and so can't count how many nodes are out of service.  Therefore each node
+gets a slot at random before a change starts.  A slot contains at most as many nodes as may be out at once, in total
+and per site, and slots repeat in rotation.  Time is measured on the clock of the change, which every command carries.
+A delayed command makes a keeper's estimate too small, never too large, so the largest reading is the most accurate.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
     length: float
 
     def open(self, clock: float) -> bool:
-        """Whether a move may begin at this time of the change.  Only in the first third: it must be over, and the
-        clocks' difference allowed for, when the next slot begins."""
-        turn, within = divmod(clock, self.length)
-        return int(turn) % self.count == self.index and self.length * 0.05 <= within < self.length / 3
+        """Whether a move may start at this time of the change.  Only the first third of a slot, less 5 % at its
+        start, allows it, so that the move ends before the next slot despite clock differences."""
+        number, within = divmod(clock, self.length)
+        return int(number) % self.count == self.index and self.length * 0.05 <= within < self.length / 3
 
 
 class Clock:
-    """The change's time as a keeper knows it."""
+    """A keeper's estimate of the clock of the change, seconds."""
 
     def __init__(self) -> None:
         self.offset: float | None = None
 
-    def told(self, clock: float, now: float) -> None:
+    def update(self, clock: float, now: float) -> None:
+        """Take a reading received at ``now``; only a larger offset replaces the estimate."""
         offset = clock - now
         if self.offset is None or offset > self.offset:
             self.offset = offset
@@ -43,23 +44,23 @@
         return None if self.offset is None else now + self.offset
 
 
-def deal(nodes: Sequence[str], sites: Mapping[str, str], most: int, most_of_site: int, length: float,
+def deal(nodes: Sequence[str], sites: Mapping[str, str], maximum: int, maximum_per_site: int, length: float,
          rng: random.Random) -> dict[str, Slot]:
-    """A slot for each node: never more than ``most`` in one, nor ``most_of_site`` of one site.  Sites take turns, so
-    that a slot is filled from many."""
+    """Assign a slot of ``length`` seconds to each node: at most ``maximum`` nodes per slot and ``maximum_per_site``
+    of one site.  Nodes are placed round-robin over the sites, so that a slot contains several sites."""
     order = list(nodes)
     rng.shuffle(order)
-    seen: dict[str, int] = {}
+    count_by_site: dict[str, int] = {}
     ranked = []
     for node in order:
         site = sites[node]
-        seen[site] = seen.get(site, 0) + 1
-        ranked.append((seen[site], node))
+        count_by_site[site] = count_by_site.get(site, 0) + 1
+        ranked.append((count_by_site[site], node))
     ranked.sort(key=lambda pair: pair[0])
     slots: list[list[str]] = []
     for _, node in ranked:
         for slot in slots:
-            if len(slot) < most and sum(sites[x] == sites[node] for x in slot) < most_of_site:
+            if len(slot) < maximum and sum(sites[x] == sites[node] for x in slot) < maximum_per_site:
                 slot.append(node)
                 break
         else:
--- a/headspar/keeper/state.py
+++ b/headspar/keeper/state.py
@@ -1,7 +1,7 @@
-"""What a keeper keeps on disk: written whole under a temporary name, synced, renamed; checked when it is read.
+"""Durable state of a keeper: written to a temporary file, synced and renamed; verified by checksum when read.
 
-The fence lies in a file of its own as well: where the state is torn or gone, a controller that was fenced off must
-stay so, and a step that was taken must not be taken again.
+The fence is also stored in a separate file.  If the state file is damaged or missing, controllers of expired epochs
+must stay stored_fence, and a step that was executed must not be executed again.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from headspar.keeper.core import Lasting
 from headspar.keeper.fence import Fence
 
-MOST_BYTES = 1 << 20
+MAX_STATE_BYTES = 1 << 20
 
 
-class Known(msgspec.Struct):
-    """A process that was started: enough to prove later that it is still the same one."""
+class ProcessRecord(msgspec.Struct):
+    """A process of the node, with what a later keeper needs to verify its identity (pid, start time, boot)."""
 
     pid: int
     started: int
@@ -32,68 +32,69 @@
 
 
 class Saved(msgspec.Struct):
-    """All of it."""
+    """The content of the state file."""
 
     lasting: Lasting
     fence: Fence
-    processes: list[Known]
+    processes: list[ProcessRecord]
 
 
 class StateError(Exception):
-    """A state that can't be used; the text says why."""
+    """The state file is missing or unusable; the text gives the reason."""
 
 
 def encode(saved: Saved) -> bytes:
+    """Encode the state: a line with the SHA-256 of the body, then the body as a line of JSON."""
     body = msgspec.json.encode(saved)
     return hashlib.sha256(body).hexdigest().encode() + b"\n" + body + b"\n"
 
 
 def decode(data: bytes) -> Saved:
-    """``StateError`` for anything that was not written whole by ``encode``."""
+    """Decode the state; ``StateError`` unless the checksum matches and the content is valid."""
     if not data:
         raise StateError("empty")
-    head, _, body = data[:MOST_BYTES].partition(b"\n")
+    head, _, body = data[:MAX_STATE_BYTES].partition(b"\n")
     body = body.removesuffix(b"\n")
     if head != hashlib.sha256(body).hexdigest().encode():
-        raise StateError("torn, or changed by hand")
+        raise StateError("truncated or modified")
     try:
         return msgspec.json.decode(body, type=Saved)
     except msgspec.MsgspecError as error:
-        raise StateError(f"of another form: {error}") from None
+        raise StateError(f"unexpected content: {error}") from None
 
 
 class StateFile:
-    """The state's place in a folder."""
+    """The state file and the fence file in a keeper's folder."""
 
     def __init__(self, folder: Path) -> None:
         self.path, self.fence_path = folder / "state", folder / "fence"
-        self.fenced = (0, 0)
+        self.stored_fence = (0, 0)
 
     def read(self) -> Saved:
-        """``StateError`` where there is none, or it can't be used."""
+        """Read the state; ``StateError`` if it is missing or unusable."""
         try:
             return decode(self.path.read_bytes())
         except FileNotFoundError:
-            raise StateError("none") from None
+            raise StateError("no state file") from None
         except OSError as error:
             raise StateError(f"{error.strerror}") from None
 
     def read_fence(self) -> tuple[int, int]:
-        """Epoch and step of the file of their own; zeros if that can't be read either."""
+        """Epoch and step of the fence file; zeros if it can't be read."""
         try:
-            words = self.fence_path.read_text().split()
-            good = len(words) == 2 and all(w.isascii() and w.isdigit() and len(w) < 16 for w in words)
-            self.fenced = (int(words[0]), int(words[1])) if good else (0, 0)
+            numbers = self.fence_path.read_text().split()
+            valid = len(numbers) == 2 and all(n.isascii() and n.isdigit() and len(n) < 16 for n in numbers)
+            self.stored_fence = (int(numbers[0]), int(numbers[1])) if valid else (0, 0)
         except (OSError, ValueError):
-            self.fenced = (0, 0)
-        return self.fenced
+            self.stored_fence = (0, 0)
+        return self.stored_fence
 
     def write(self, saved: Saved) -> None:
-        """``OSError`` if it is not on the disk."""
+        """Write the fence, if it has changed, and then the state; ``OSError`` unless both are on disk."""
         fence = (saved.fence.epoch, saved.fence.step)
-        if fence != self.fenced:
+        if fence != self.stored_fence:
             _replace(self.fence_path, b"%d %d\n" % fence)
-            self.fenced = fence
+            self.stored_fence = fence
         failpoint("keeper.state")
         _replace(self.path, encode(saved))
         failpoint("keeper.state_written")
--- a/headspar/keeper/words.py
+++ b/headspar/keeper/words.py
@@ -1,7 +1,7 @@
-"""What a keeper does with one word of a controller; without I/O.
+"""Validation and execution of one command of a controller.  No I/O.
 
-In this order: is it for us, does it count (``fence``), can it be done now, and then its effect on what lasts.  The
-host writes effect and fence down in one, answers, and only then lets the core act on it.
+The checks are, in this order: the addressee, the fence, and whether the command is possible now.  Then the command
+changes the durable state.  The host saves this change and the fence in one write before the core acts on it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from headspar.keeper.fence import Fence, Verdict
 
 
-class Weighed(msgspec.Struct, frozen=True):
-    """What is to be said to a word.  ``why``: empty, or why nothing is done; ``counts``: whether its step, or its
-    epoch, has to be written down before the answer."""
+class Assessment(msgspec.Struct, frozen=True):
+    """Result of the checks.  ``why``: reason of a refusal, else empty; ``counts``: whether the command's step or
+    epoch must be saved before the answer is sent."""
 
     verdict: Verdict
     ok: bool
@@ -28,59 +28,62 @@
 
 
 def weigh(
-    word: m.Word, name: str, fence: Fence, core: Core, has: Callable[[str], bool], down: bool,
-) -> Weighed:
-    """``name``: the keeper's own; ``has``: whether a generation lies here; ``down``: the node serves nobody."""
-    step = getattr(word, "step", 0)
-    verdict = fence.judge(word.epoch, step)
-    if word.node != name:
-        return Weighed(verdict, False, f"meant for {word.node!r}", False, step)
+    command: m.Word, name: str, fence: Fence, core: Core, has: Callable[[str], bool], down: bool,
+) -> Assessment:
+    """Check a command.  ``name``: this keeper's node; ``has``: whether a generation is stored here; ``down``: the
+    node is not serving."""
+    step = getattr(command, "step", 0)
+    verdict = fence.judge(command.epoch, step)
+    if command.node != name:
+        return Assessment(verdict, False, f"meant for {command.node!r}", False, step)
     if verdict is Verdict.FENCED:
-        return Weighed(verdict, False, f"epoch {word.epoch} is over, {fence.epoch} has begun", False, step)
+        return Assessment(verdict, False, f"epoch {command.epoch} has expired, {fence.epoch} is the current one",
+                          False, step)
     if verdict is Verdict.OLD:
-        return Weighed(verdict, False, f"step {step} comes after step {fence.step}", False, step)
+        return Assessment(verdict, False, f"step {step} is older than the last step {fence.step}", False, step)
     if verdict is Verdict.AGAIN:
         assert fence.answer is not None
-        return Weighed(verdict, bool(fence.answer["ok"]), str(fence.answer["why"]), False, step)
-    why = _refusal(word, core, has)
-    if not why and isinstance(word, m.Try | m.Back) and word.down and not down:
-        why = "it serves by now"
-    # A refusal uses its step up as well: the same word, held up on the way, must not be taken later on.
-    return Weighed(verdict, not why, why, step > 0 or word.epoch > fence.epoch, step)
+        return Assessment(verdict, bool(fence.answer["ok"]), str(fence.answer["why"]), False, step)
+    why = _refusal(command, core, has)
+    if not why and isinstance(command, m.Try | m.Back) and command.down and not down:
+        why = "the node is serving now"
+    # A refusal consumes its step too: a delayed copy of the command must not be accepted later.
+    return Assessment(verdict, not why, why, step > 0 or command.epoch > fence.epoch, step)
 
 
-def _refusal(word: m.Word, core: Core, has: Callable[[str], bool]) -> str:
-    """Why it can't be done now; empty if it can."""
-    if isinstance(word, m.Try):
-        return core.refusal(word.order) if has(word.order.generation) else "this generation is not here"
-    if isinstance(word, m.Back):
-        return "" if has(word.generation) else "this generation is not here"
-    if isinstance(word, m.Hold | m.Confirm):
-        if core.trial != word.generation:
+def _refusal(command: m.Word, core: Core, has: Callable[[str], bool]) -> str:
+    """Why the command is not possible now; empty if it is."""
+    if isinstance(command, m.Try):
+        return core.refusal(command.order) if has(command.order.generation) else "this generation is not stored here"
+    if isinstance(command, m.Back):
+        return "" if has(command.generation) else "this generation is not stored here"
+    if isinstance(command, m.Hold | m.Confirm):
+        if core.trial != command.generation:
             return "this generation is not on trial"
-        if isinstance(word, m.Confirm) and (core.course is not Course.PROVING or core.running != core.trial):
-            return "the trial does not serve"
+        if isinstance(command, m.Confirm) and (core.course is not Course.PROVING or core.running != core.trial):
+            return "the generation on trial is not serving"
     return ""
 
 
 def take(
-    word: m.Word, weighed: Weighed, fence: Fence, core: Core, now: float, keep: Callable[[Fence], bool],
+    command: m.Word, assessment: Assessment, fence: Fence, core: Core, now: float, keep: Callable[[Fence], bool],
 ) -> Fence:
-    """Carry out a word that counts: its effect on what lasts, written down with the fence by ``keep``.  The fence
-    from now on: the one before, and no effect, where nothing could be written."""
-    after = fence.take(word.epoch, weighed.step, {"ok": weighed.ok, "why": weighed.why} if weighed.step else None)
+    """Apply a command that counts to the durable state, and save the state with the new fence through ``keep``.
+    Returns the fence in force: the previous one, with the state restored, if saving failed."""
+    after = fence.take(command.epoch, assessment.step,
+                       {"ok": assessment.ok, "why": assessment.why} if assessment.step else None)
     before = copy.deepcopy(core.lasting)
-    if weighed.ok:
-        if isinstance(word, m.Try):
-            core.try_(word.order, now)
-        elif isinstance(word, m.Back):
-            core.back(word.generation, word.reason[:200], now)
-        elif isinstance(word, m.Hold):
-            core.hold()
-        elif isinstance(word, m.Confirm):
+    if assessment.ok:
+        if isinstance(command, m.Try):
+            core.begin_trial(command.order, now)
+        elif isinstance(command, m.Back):
+            core.roll_back(command.generation, command.reason[:200], now)
+        elif isinstance(command, m.Hold):
+            core.pin()
+        elif isinstance(command, m.Confirm):
             core.confirm()
     if keep(after):
-        core.heard(word.clock, now)
+        core.heard(command.clock, now)
         return after
     core.restore(before, now)
     return fence
--- a/tests/keeper/test_core.py
+++ b/tests/keeper/test_core.py
@@ -1,4 +1,4 @@
-"""The keeper's decisions: the ways of a trial, by hand, and drawn orders of all that can happen."""
+"""The keeper's state machines: single courses of a trial, and random sequences of events."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 OLD, NEW, LIKE = "old", "new", "like-old"  # LIKE differs from OLD in settings alone
 
 
-class Machine:
-    """A core with processes that do as they are told, when they are told to."""
+class Harness:
+    """A core with simulated processes, which change state only when a test says so."""
 
     def __init__(self, present: str = OLD, seed: int = 1) -> None:
         self.now = 100.0
-        self.moves: list[tuple[str, str, str, str]] = []
+        self.transitions: list[tuple[str, str, str, str]] = []
         pauses = Pauses(PauseSettings(), random.Random(seed))
-        self.core = Core(Timing(), pauses, lambda a, b: {a, b} <= {OLD, LIKE}, self.said)
+        self.core = Core(Timing(), pauses, lambda a, b: {a, b} <= {OLD, LIKE}, self.on_transition)
         self.live: dict[int, str] = {}
         self.begun: list[Start] = []
         self.log: list[object] = []
         self.answers = True
         self.core.resume(Lasting(present=present), [], None, None, self.now)
 
-    def said(self, table: str, before: str, cause: str, after: str) -> None:
-        self.moves.append((table, before, cause, after))
+    def on_transition(self, table: str, before: str, cause: str, after: str) -> None:
+        self.transitions.append((table, before, cause, after))
 
     def do(self, actions: list[object]) -> None:
         for action in actions:
@@ -72,7 +72,7 @@
         del self.live[key]
         self.do(list(self.core.ended(key, no_handover, self.now)))
 
-    def serve(self) -> Machine:
+    def serve(self) -> Harness:
         self.run(1)
         self.ready()
         return self
@@ -80,11 +80,11 @@
     def order(self, generation: str = NEW, **more: object) -> None:
         order = Order("c", generation, 10.0, **more)  # type: ignore[arg-type]
         assert self.core.refusal(order) == ""
-        self.core.try_(order, self.now)
+        self.core.begin_trial(order, self.now)
         self.do(list(self.core.advance(self.now)))
 
-    def back(self, generation: str = OLD) -> None:
-        self.core.back(generation, "told", self.now)
+    def roll_back(self, generation: str = OLD) -> None:
+        self.core.roll_back(generation, "told", self.now)
         self.do(list(self.core.advance(self.now)))
 
     def last(self, kind: type) -> object:
@@ -96,7 +96,7 @@
 
 
 def test_a_trial_beside_the_old_one_proven_and_confirmed() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     start = m.begun[-1]
     assert start.beside and start.generation == NEW and m.core.running == OLD
@@ -112,20 +112,20 @@
 
 
 def test_time_in_which_it_does_not_answer_proves_nothing() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.ready()
     m.run(9.0)
     assert m.core.serving is not None
-    m.core.unwell(m.core.serving, m.now)
+    m.core.health_check_failed(m.core.serving, m.now)
     m.run(9.0)
     assert not m.core.proved(m.now)
-    m.do(list(m.core.silent(m.core.serving, m.now)))
+    m.do(list(m.core.unresponsive(m.core.serving, m.now)))
     assert isinstance(m.log[-1], Kill)
 
 
 def test_a_trial_that_does_not_start_leaves_the_old_one_where_it_is() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     for _ in range(2):
         assert m.core.coming is not None
@@ -137,7 +137,7 @@
 
 
 def test_one_that_never_says_yes_is_killed_and_counts_as_failed() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.run(Timing().start + 0.2)
     assert m.last(Kill) == Kill(2)
@@ -146,12 +146,12 @@
 
 
 def test_a_trial_that_dies_twice_goes_back_untold_and_after_proving_it_does_not() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.ready()
     m.old_ends()
     m.run(3)
-    m.end(2)  # the first death: started again, as it is
+    m.end(2)  # the first death: the trial is restarted
     m.run(1)
     assert m.begun[-1].generation == NEW and not m.begun[-1].beside
     m.ready()
@@ -163,12 +163,12 @@
     m.ready()
     assert m.core.running == OLD and m.core.state == "serving" and m.core.restarts == 2
 
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.ready()
     m.old_ends()
     m.run(200)
-    for _ in range(2):  # proven each time before it dies
+    for _ in range(2):  # the trial is proven again before each death
         assert m.core.serving is not None
         m.end(m.core.serving)
         m.run(1)
@@ -178,7 +178,7 @@
 
 
 def test_without_a_hand_over_it_is_drained_and_started_or_left_where_that_is_not_allowed() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.end(2, no_handover=True)
     assert m.last(Drain) == Drain(1) and m.core.phase is Phase.DRAINING
@@ -189,7 +189,7 @@
     m.ready()
     assert m.core.state == "proving" and m.core.restarts == 0
 
-    m = Machine().serve()
+    m = Harness().serve()
     m.order(restart=False)
     m.end(2, no_handover=True)
     assert m.core.running == OLD and m.core.course is Course.SETTLED
@@ -197,22 +197,22 @@
 
 
 def test_a_drain_is_called_off_when_the_change_is() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.end(2, no_handover=True)
-    m.back()
+    m.roll_back()
     assert m.last(Undrain) == Undrain(1) and m.core.state == "serving" and m.core.course is Course.SETTLED
 
 
 def test_going_back_from_one_that_hangs_ends_it_by_force() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order()
     m.ready()
     m.old_ends()
-    m.back()
+    m.roll_back()
     assert m.begun[-1] == Start(3, OLD, True)
-    m.end(3, no_handover=True)  # the hanging one offers nothing
-    m.run(Timing().drain + 0.2)  # and is not drained either
+    m.end(3, no_handover=True)  # the hanging process can't hand over
+    m.run(Timing().drain + 0.2)  # and its drain does not end
     assert m.last(Term) == Term(2)
     m.run(Timing().end + 0.2)
     assert m.last(Kill) == Kill(2)
@@ -223,12 +223,12 @@
 
 
 def test_settings_alone_go_by_signal_and_settings_turned_down_go_back() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order(LIKE)
     assert m.last(Reload) == Reload(1, LIKE) and len(m.begun) == 1
     m.do(list(m.core.reloaded(1, True, "", m.now)))
     assert m.core.running == LIKE and m.core.state == "proving"
-    m.back()
+    m.roll_back()
     m.do(list(m.core.reloaded(1, True, "", m.now)))
     assert m.core.running == OLD and m.core.state == "serving"
     m.order(LIKE)
@@ -238,13 +238,13 @@
 
 
 def test_where_a_start_is_to_be_proven_settings_alone_go_by_a_second_process_too() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order(LIKE, reload=False)
     assert m.begun[-1] == Start(2, LIKE, True) and not any(isinstance(a, Reload) for a in m.log)
 
 
 def test_silence_goes_back_in_its_own_slot_only() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.core.heard(0.0, m.now)
     m.order(silence="back", silence_s=5.0, slot=Slot(2, 4, 30.0))
     m.ready()
@@ -254,24 +254,24 @@
     assert m.core.state == "proving"
     m.run(10)
     assert m.core.state == "going back" and 60 <= m.now - 101 < 71
-    held = Machine().serve()
-    held.order(silence="hold", silence_s=5.0)
-    held.ready()
-    held.run(200)
-    assert held.core.course is Course.PROVING
+    pinned = Harness().serve()
+    pinned.order(silence="hold", silence_s=5.0)
+    pinned.ready()
+    pinned.run(200)
+    assert pinned.core.course is Course.PROVING
 
 
 def test_a_hold_before_the_confirming_outlasts_any_silence() -> None:
-    m = Machine().serve()
+    m = Harness().serve()
     m.order(silence="back", silence_s=5.0)
     m.ready()
-    m.core.hold()
+    m.core.pin()
     m.run(100)
     assert m.core.course is Course.PROVING
 
 
 def test_what_can_not_be_started_is_held_and_tried_on() -> None:
-    m = Machine()
+    m = Harness()
     for _ in range(Timing().hopeless):
         while m.core.coming is None:
             m.run(1)
@@ -284,12 +284,12 @@
 
 
 def test_a_process_of_a_generation_that_the_state_does_not_know_is_on_trial() -> None:
-    m = Machine()
+    m = Harness()
     m.core.resume(Lasting(present=OLD), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
     assert m.core.state == "proving" and m.core.trial == NEW and m.core.lasting.present == OLD
     m.core.resume(Lasting(), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
     assert m.core.state == "serving" and m.core.lasting.present == NEW
-    m.core.resume(Lasting(), [Proc(7, NEW, m.now)], None, 7, m.now)  # it had only just been started
+    m.core.resume(Lasting(), [Proc(7, NEW, m.now)], None, 7, m.now)  # still starting
     m.ready(7)
     assert m.core.state == "serving" and m.core.lasting.present == NEW and not any(isinstance(a, Kill) for a in m.log)
 
@@ -297,20 +297,20 @@
 def test_nodes_that_die_together_do_not_start_in_step() -> None:
     starts = []
     for seed in range(200):
-        m = Machine(seed=seed).serve()
+        m = Harness(seed=seed).serve()
         m.end(1)
-        starts.append(m.core.start_at - m.now)
+        starts.append(m.core.start_not_before - m.now)
     counts = Counter(int(s / 0.05) for s in starts)
     assert max(starts) <= 0.5 and len(counts) >= 9 and max(counts.values()) <= 45
 
 
 class Orders(RuleBasedStateMachine):
-    """All that can happen to a keeper in any order: no transition that the tables lack (it would raise ``KeyError``),
-    never a start beside more than one process, and in quiet times it gets to what is wanted."""
+    """Random sequences of a keeper's events: each transition is in the tables (others raise ``KeyError``), at most
+    one process starts beside the serving one, and without disturbances the node reaches the wanted generation."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
-        self.m = Machine(seed=seed)
+        self.m = Harness(seed=seed)
         self.good = {OLD: True, NEW: True, LIKE: True}
         self.step = 0
 
@@ -336,12 +336,12 @@
     def is_told_to_try(self, generation: str, change: str, restart: bool, silence: str) -> None:
         order = Order(change, generation, 2.0, restart, silence, 5.0)  # type: ignore[arg-type]
         if not self.m.core.refusal(order):
-            self.m.core.try_(order, self.m.now)
+            self.m.core.begin_trial(order, self.m.now)
             self.m.do(list(self.m.core.advance(self.m.now)))
 
     @rule(generation=st.sampled_from([OLD, NEW, LIKE]))
     def is_told_back(self, generation: str) -> None:
-        self.m.back(generation)
+        self.m.roll_back(generation)
 
     @rule()
     def is_told_to_confirm(self) -> None:
@@ -360,16 +360,16 @@
 
     @rule(key=st.integers(1, 9))
     def falls_silent(self, key: int) -> None:
-        self.m.do(list(self.m.core.silent(key, self.m.now)))
+        self.m.do(list(self.m.core.unresponsive(key, self.m.now)))
 
     @rule(keep=st.booleans())
     def keeper_is_killed(self, keep: bool) -> None:
-        """Another takes its place, with the state or without it."""
+        """A new keeper replaces it, with or without the durable state."""
         core = self.m.core
         lasting, procs = core.lasting if keep else Lasting(), list(core.procs.values())
-        fresh = Machine.__new__(Machine)
+        fresh = Harness.__new__(Harness)
         fresh.__dict__.update(self.m.__dict__)
-        fresh.core = Core(core.timing, core.pauses, core.only_settings, self.m.said)
+        fresh.core = Core(core.timing, core.pauses, core.only_settings, self.m.on_transition)
         serving = core.serving if core.serving is not None and core.procs[core.serving].ready >= 0 else None
         if not keep and not procs:
             lasting = Lasting(present=OLD)
@@ -381,7 +381,7 @@
     def holds(self) -> None:
         core = self.m.core
         assert set(core.procs) == set(self.m.live)
-        assert len(self.m.live) <= 3  # one serves, one comes, one ends
+        assert len(self.m.live) <= 3  # one serves, one starts, one ends
         serving = core.serving
         if core.phase in (Phase.SERVING, Phase.RELOADING, Phase.BESIDE, Phase.DRAINING):
             assert serving in core.procs and core.procs[serving].ready >= 0
@@ -398,7 +398,7 @@
             core = m.core
             if core.coming is not None and not core.procs[core.coming].killed:
                 m.ready()
-            for key in [k for k, p in core.procs.items() if p.killed or p.termed >= 0]:
+            for key in [k for k, p in core.procs.items() if p.killed or p.terminated_at >= 0]:
                 m.end(key)
             if core.phase is Phase.RELOADING and core.serving is not None:
                 m.do(list(core.reloaded(core.serving, True, "", m.now)))
@@ -406,7 +406,7 @@
                 m.do(list(core.drained_(core.serving, m.now)))
             if core.running == core.wanted and core.course in (Course.SETTLED, Course.PROVING):
                 return
-        raise AssertionError((core.phase, core.course, core.running, core.wanted, m.moves[-10:]))
+        raise AssertionError((core.phase, core.course, core.running, core.wanted, m.transitions[-10:]))
 
 
 Orders.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
@@ -415,6 +415,6 @@
 
 @pytest.mark.parametrize("table", [PHASES, COURSES], ids=["phases", "courses"])
 def test_every_state_can_be_reached_and_left(table: dict[tuple[object, object], object]) -> None:
-    befores, afters = {before for before, _ in table}, set(table.values())
-    kind = type(next(iter(afters)))
-    assert befores == afters == set(kind)  # type: ignore[call-overload]
+    states_left, states_entered = {before for before, _ in table}, set(table.values())
+    kind = type(next(iter(states_entered)))
+    assert states_left == states_entered == set(kind)  # type: ignore[call-overload]
--- a/tests/keeper/test_parts.py
+++ b/tests/keeper/test_parts.py
@@ -1,4 +1,4 @@
-"""Commands, pauses and slots; generations and the state on a disk that fails."""
+"""Fence, restart backoff, slots, generations, durable state on failing disks, failpoints and process handles."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from headspar.keeper.pauses import Pauses, PauseSettings
 from headspar.keeper.processes import Handle
 from headspar.keeper.slots import Clock, Slot, deal
-from headspar.keeper.state import Known, Saved, StateError, StateFile, decode, encode
+from headspar.keeper.state import ProcessRecord, Saved, StateError, StateFile, decode, encode
 from tests.loopback import PATIENCE
 
 
@@ -32,18 +32,18 @@
     assert fence.judge(1, 5) is Verdict.NEW
     fence = fence.take(1, 5, {"ok": True})
     assert fence.judge(1, 5) is Verdict.AGAIN and fence.answer == {"ok": True}
-    assert fence.judge(1, 4) is Verdict.OLD  # held up on the way
+    assert fence.judge(1, 4) is Verdict.OLD  # delayed
     assert fence.judge(2, 4) is Verdict.OLD
-    fence = fence.take(2, 0, None)  # another controller has only been heard
+    fence = fence.take(2, 0, None)  # a command without a step, of another controller
     assert fence.judge(1, 6) is fence.judge(1, 5) is fence.judge(1, 0) is Verdict.FENCED
     assert fence.judge(2, 5) is Verdict.AGAIN and fence.judge(2, 6) is Verdict.NEW
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 8)), max_size=60))
 @settings(max_examples=300, derandomize=True)
-def test_whatever_comes_in_whatever_order_steps_rise_and_epochs_do_not_fall(words: list[tuple[int, int]]) -> None:
+def test_whatever_comes_in_whatever_order_steps_rise_and_epochs_do_not_fall(commands: list[tuple[int, int]]) -> None:
     fence, taken = Fence(), []
-    for epoch, step in words:
+    for epoch, step in commands:
         if fence.judge(epoch, step) is Verdict.NEW:
             fence = fence.take(epoch, step, {})
             taken.append((epoch, step))
@@ -52,30 +52,30 @@
 
 def test_pauses_grow_to_a_ceiling_and_long_health_forgets() -> None:
     pauses = Pauses(PauseSettings(1.0, 8.0, 0.5, 60.0), random.Random(1))
-    drawn = [pauses.died(1.0) for _ in range(8)]
-    assert drawn[0] <= 0.5 and all(x <= 8.0 for x in drawn) and max(drawn[5:]) > 4.0
-    assert pauses.died(61.0) <= 0.5
+    delays = [pauses.restart_delay(1.0) for _ in range(8)]
+    assert delays[0] <= 0.5 and all(x <= 8.0 for x in delays) and max(delays[5:]) > 4.0
+    assert pauses.restart_delay(61.0) <= 0.5
 
 
 @given(st.integers(1, 300), st.integers(1, 6), st.integers(1, 9), st.integers(1, 4), st.integers(0, 99))
 @settings(max_examples=50, derandomize=True, deadline=None)
-def test_slots_hold_no_more_than_the_limits(count: int, sites: int, most: int, of_site: int, seed: int) -> None:
+def test_slots_hold_no_more_than_the_limits(count: int, sites: int, maximum: int, per_site: int, seed: int) -> None:
     nodes = [f"n{i}" for i in range(count)]
     site = {n: f"s{i % sites}" for i, n in enumerate(nodes)}
-    slots = deal(nodes, site, most, of_site, 30.0, random.Random(seed))
+    slots = deal(nodes, site, maximum, per_site, 30.0, random.Random(seed))
     assert set(slots) == set(nodes)
     total = next(iter(slots.values())).count
     for at in range(total * 30):
         out = [n for n in nodes if slots[n].open(at + 0.5)]
-        assert len(out) <= most and all(sum(site[n] == s for n in out) <= of_site for s in set(site.values()))
+        assert len(out) <= maximum and all(sum(site[n] == s for n in out) <= per_site for s in set(site.values()))
     assert all(any(slots[n].open(at + 2.0) for at in range(total * 30)) for n in nodes[:5])
 
 
 def test_a_word_that_was_held_up_does_not_set_the_clock_back() -> None:
     clock = Clock()
     assert clock.read(0.0) is None
-    clock.told(100.0, 5.0)
-    clock.told(101.0, 36.0)  # said 30 s before it came
+    clock.update(100.0, 5.0)
+    clock.update(101.0, 36.0)  # arrived 30 s late
     assert clock.read(40.0) == 135.0
     assert Slot(0, 2, 30.0).open(61.6) and not Slot(0, 2, 30.0).open(60.0) and not Slot(0, 2, 30.0).open(75.0)
 
@@ -95,9 +95,9 @@
     source = generation(tmp_path / "a")
     name = digest(source)
     store = Store(tmp_path / "store")
-    with pytest.raises(GenerationError, match="is .*, not"):
+    with pytest.raises(GenerationError, match="digest is .*, not"):
         store.fetch(source, "0" * 64)
-    with pytest.raises(GenerationError, match="no generation's name"):
+    with pytest.raises(GenerationError, match="not a generation name"):
         store.fetch(source, "../../etc")
     assert store.names() == [] and not any((tmp_path / "store").iterdir())
     monkeypatch.setenv(failpoints.VARIABLE, "keeper.fetched=ENOSPC")
@@ -110,7 +110,7 @@
     (source / "program" / "headspar" / "__pycache__" / "x.pyc").write_bytes(b"?")
     store.fetch(source, name)
     assert store.names() == [name] and tree_digest(store.path(name)) == name
-    (store.path(name) / "settings.json").write_text("{}")  # changed by hand: fetched anew
+    (store.path(name) / "settings.json").write_text("{}")  # modified: copied again
     store.fetch(source, name)
     assert tree_digest(store.path(name)) == name
 
@@ -146,7 +146,8 @@
 def saved(epoch: int = 3) -> Saved:
     order = Order("c", "g", 5.0, slot=Slot(1, 2, 30.0))
     lasting = Lasting("p", "b", order, Course.PROVING, 1, Outcome("c", "g", "back", "why"))
-    return Saved(lasting, Fence(epoch, 7, {"ok": True}), [Known(12, 34, "boot", "g", "127.0.0.1:1", "serving", True)])
+    return Saved(lasting, Fence(epoch, 7, {"ok": True}),
+                 [ProcessRecord(12, 34, "boot", "g", "127.0.0.1:1", "serving", True)])
 
 
 def test_the_state_comes_back_as_it_was_and_torn_or_changed_it_is_not_taken(tmp_path: Path) -> None:
@@ -159,14 +160,14 @@
         with pytest.raises(StateError):
             decode(data[:i] + bytes([data[i] ^ 1]) + data[i + 1:])
     file = StateFile(tmp_path)
-    with pytest.raises(StateError, match="none"):
+    with pytest.raises(StateError, match="no state file"):
         file.read()
     file.write(saved())
     assert file.read() == saved() and StateFile(tmp_path).read_fence() == (3, 7)
     file.path.write_bytes(b"")
     with pytest.raises(StateError, match="empty"):
         file.read()
-    assert StateFile(tmp_path).read_fence() == (3, 7)  # who was fenced off stays so
+    assert StateFile(tmp_path).read_fence() == (3, 7)  # expired epochs stay fenced
 
 
 @pytest.mark.parametrize("point", ["keeper.state", "keeper.state_written"])
@@ -201,7 +202,7 @@
 @pytest.mark.parametrize("text", ["x", "x=", "=kill", "x=NOSUCH", "x=kill@", "x=kill@y"])
 def test_a_failpoint_that_can_not_be_read_is_named(text: str) -> None:
     if text == "x=kill@":
-        failpoints.arm({failpoints.VARIABLE: "x=EIO@"})  # the first time
+        failpoints.arm({failpoints.VARIABLE: "x=EIO@"})  # no number: the first hit
     else:
         with pytest.raises(failpoints.FailpointError, match="needs NAME"):
             failpoints.arm({failpoints.VARIABLE: text})
@@ -215,7 +216,7 @@
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     try:
         started = start_ticks(child.pid)
-        assert isinstance(Handle.find(child.pid, started + 1, boot_id()), str)  # the pid is another's by now
+        assert isinstance(Handle.find(child.pid, started + 1, boot_id()), str)  # a reused pid
         assert isinstance(Handle.find(child.pid, started, "another boot"), str)
         assert isinstance(Handle.find(1, start_ticks(1), boot_id()), str)
         handle = Handle.find(child.pid, started, boot_id())
@@ -223,7 +224,7 @@
         assert child.poll() is None
         handle.signal(signal.SIGKILL)
         assert child.wait(PATIENCE) == -signal.SIGKILL
-        handle.signal(signal.SIGKILL)  # it is gone: nothing happens, to nobody
+        handle.signal(signal.SIGKILL)  # the process is gone: the signal has no effect
         handle.close()
         assert isinstance(Handle.find(child.pid, started, boot_id()), str)
     finally:
--- a/tests/keeper/test_words.py
+++ b/tests/keeper/test_words.py
@@ -1,4 +1,4 @@
-"""One word of a controller: whether it counts, what it does, and that effect and fence are written down in one."""
+"""Commands of a controller: acceptance, effect, and that the effect and the fence are saved in one write."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     return c
 
 
-def said(kind: type[m.Step], step: int = 5, epoch: int = 2, node: str = "n", **more: Any) -> m.Word:
+def command_of(kind: type[m.Step], step: int = 5, epoch: int = 2, node: str = "n", **more: Any) -> m.Word:
     return kind(node=node, epoch=epoch, clock=1.0, step=step, **more)
 
 
-class Desk:
-    """What a host does around the two functions."""
+class Host:
+    """Calls the two functions as the keeper's host does; ``disk`` False makes saving fail."""
 
     def __init__(self, c: Core, fence: Fence | None = None) -> None:
         self.core, self.fence = c, fence or Fence(2, 4, {"ok": True, "why": ""})
@@ -40,88 +40,90 @@
             self.written.append((fence, self.core.lasting))
         return self.disk
 
-    def hear(self, word: m.Word) -> tuple[bool, str]:
-        weighed = weigh(word, "n", self.fence, self.core, {"old", "new"}.__contains__, self.down)
-        if weighed.counts:
-            self.fence = take(word, weighed, self.fence, self.core, 100.0, self.keep)
-        return weighed.ok, weighed.why
+    def handle(self, command: m.Word) -> tuple[bool, str]:
+        assessment = weigh(command, "n", self.fence, self.core, {"old", "new"}.__contains__, self.down)
+        if assessment.counts:
+            self.fence = take(command, assessment, self.fence, self.core, 100.0, self.keep)
+        return assessment.ok, assessment.why
 
 
-TRY = said(m.Try, order=Order("c", "new", 5.0))
+TRY = command_of(m.Try, order=Order("c", "new", 5.0))
 
 
-@pytest.mark.parametrize(("word", "why"), [
-    (said(m.Try, node="x", order=Order("c", "new", 5.0)), "meant for 'x'"),
-    (said(m.Try, epoch=1, order=Order("c", "new", 5.0)), "epoch 1 is over, 2 has begun"),
-    (said(m.Try, step=3, order=Order("c", "new", 5.0)), "step 3 comes after step 4"),
+@pytest.mark.parametrize(("command", "why"), [
+    (command_of(m.Try, node="x", order=Order("c", "new", 5.0)), "meant for 'x'"),
+    (command_of(m.Try, epoch=1, order=Order("c", "new", 5.0)), "epoch 1 has expired, 2 is the current one"),
+    (command_of(m.Try, step=3, order=Order("c", "new", 5.0)), "step 3 is older than the last step 4"),
 ])
-def test_what_does_not_count_is_told_why_and_leaves_no_trace(word: m.Word, why: str) -> None:
-    desk = Desk(core())
-    assert desk.hear(word) == (False, why) and desk.written == []
-    assert desk.core.course is Course.SETTLED and desk.fence.step == 4
+def test_what_does_not_count_is_told_why_and_leaves_no_trace(command: m.Word, why: str) -> None:
+    host = Host(core())
+    assert host.handle(command) == (False, why) and host.written == []
+    assert host.core.course is Course.SETTLED and host.fence.step == 4
 
 
-@pytest.mark.parametrize(("word", "why"), [
-    (said(m.Try, order=Order("c", "other", 5.0)), "this generation is not here"),
-    (said(m.Back, generation="other", reason=""), "this generation is not here"),
-    (said(m.Confirm, generation="new"), "this generation is not on trial"),
-    (said(m.Hold, generation="new"), "this generation is not on trial"),
+@pytest.mark.parametrize(("command", "why"), [
+    (command_of(m.Try, order=Order("c", "other", 5.0)), "this generation is not stored here"),
+    (command_of(m.Back, generation="other", reason=""), "this generation is not stored here"),
+    (command_of(m.Confirm, generation="new"), "this generation is not on trial"),
+    (command_of(m.Hold, generation="new"), "this generation is not on trial"),
 ])
-def test_a_refusal_uses_its_step_up(word: m.Word, why: str) -> None:
-    desk = Desk(core())
-    assert desk.hear(word) == (False, why) and desk.fence.step == 5
-    assert desk.hear(word) == (False, why)  # the same again, as the first time
-    assert desk.core.course is Course.SETTLED
+def test_a_refusal_uses_its_step_up(command: m.Word, why: str) -> None:
+    host = Host(core())
+    assert host.handle(command) == (False, why) and host.fence.step == 5
+    assert host.handle(command) == (False, why)  # a duplicate gets the same answer
+    assert host.core.course is Course.SETTLED
 
 
 def test_effect_and_fence_are_written_in_one_before_anything_is_done() -> None:
-    desk = Desk(core())
-    assert desk.hear(TRY) == (True, "")
-    (fence, lasting), = desk.written
+    host = Host(core())
+    assert host.handle(TRY) == (True, "")
+    (fence, lasting), = host.written
     assert (fence.epoch, fence.step) == (2, 5) and lasting.order is not None and lasting.course is Course.TRYING
-    assert desk.core.phase is Phase.SERVING  # nothing has been started yet
-    assert desk.core.advance(100.0)
-    assert desk.hear(TRY) == (True, "") and len(desk.written) == 1
+    assert host.core.phase is Phase.SERVING  # no process has been started yet
+    assert host.core.advance(100.0)
+    assert host.handle(TRY) == (True, "") and len(host.written) == 1
 
 
-@pytest.mark.parametrize(("trial", "word"), [
-    ("", TRY), ("new", said(m.Back, generation="old", reason="x")), ("new", said(m.Confirm, generation="new")),
+@pytest.mark.parametrize(("trial", "command"), [
+    ("", TRY), ("new", command_of(m.Back, generation="old", reason="x")),
+    ("new", command_of(m.Confirm, generation="new")),
 ])
-def test_what_can_not_be_written_was_never_taken(trial: str, word: m.Word) -> None:
-    desk = Desk(core(trial=trial))
-    before = (desk.core.course, desk.core.trial, desk.core.lasting.present)
-    desk.disk = False
-    desk.hear(word)
-    assert (desk.core.course, desk.core.trial, desk.core.lasting.present) == before
-    assert desk.fence.step == 4 and desk.core.advance(100.0) == []
-    assert desk.core.proved(106.0) == bool(trial)  # it is proven anew
-    desk.disk = True
-    assert desk.hear(word) == (True, "")
+def test_what_can_not_be_written_was_never_taken(trial: str, command: m.Word) -> None:
+    host = Host(core(trial=trial))
+    before = (host.core.course, host.core.trial, host.core.lasting.present)
+    host.disk = False
+    host.handle(command)
+    assert (host.core.course, host.core.trial, host.core.lasting.present) == before
+    assert host.fence.step == 4 and host.core.advance(100.0) == []
+    assert host.core.proved(106.0) == bool(trial)  # its proving time starts again
+    host.disk = True
+    assert host.handle(command) == (True, "")
 
 
 def test_a_later_epoch_is_written_down_though_it_only_says_that_it_is_there() -> None:
-    desk = Desk(core())
+    host = Host(core())
     touch = m.Touch(node="n", epoch=3, clock=7.0)
-    assert desk.hear(touch) == (True, "") and desk.fence.epoch == 3 and len(desk.written) == 1
-    assert desk.hear(touch) == (True, "") and len(desk.written) == 1
-    assert desk.hear(TRY)[1].startswith("epoch 2 is over")
-    assert weigh(touch, "n", desk.fence, desk.core, lambda _: True, False).verdict is Verdict.NEW
+    assert host.handle(touch) == (True, "") and host.fence.epoch == 3 and len(host.written) == 1
+    assert host.handle(touch) == (True, "") and len(host.written) == 1
+    assert host.handle(TRY)[1].startswith("epoch 2 has expired")
+    assert weigh(touch, "n", host.fence, host.core, lambda _: True, False).verdict is Verdict.NEW
 
 
 def test_a_trial_of_another_change_can_be_replaced_confirmed_and_taken_back() -> None:
-    """Its record was lost, and who leads now says the epoch."""
-    desk = Desk(core(trial="new"))
-    assert desk.hear(said(m.Confirm, generation="new"))[0] and desk.core.lasting.present == "new"
-    desk = Desk(core(trial="new"))
-    assert desk.hear(said(m.Try, order=Order("another", "old", 5.0)))[0] and desk.core.trial == "old"
+    """A change whose record was lost is taken over by the next: the epoch identifies the leader, not the change."""
+    host = Host(core(trial="new"))
+    assert host.handle(command_of(m.Confirm, generation="new"))[0] and host.core.lasting.present == "new"
+    host = Host(core(trial="new"))
+    assert host.handle(command_of(m.Try, order=Order("another", "old", 5.0)))[0] and host.core.trial == "old"
 
 
 def test_a_word_for_a_node_that_is_down_is_refused_once_it_serves() -> None:
-    """The controller kept no limit for it; what it knew may be two seconds old."""
+    """The controller does not count a node that is down against the limits, and its knowledge may be 2 s old."""
     order = Order("c", "new", 5.0)
-    desk = Desk(core())
-    assert desk.hear(said(m.Try, order=order, down=True)) == (False, "it serves by now")
-    assert desk.hear(said(m.Back, 6, generation="new", reason="x", down=True)) == (False, "it serves by now")
-    assert desk.core.course is Course.SETTLED and desk.fence.step == 6
-    desk.down = True
-    assert desk.hear(said(m.Try, 7, order=order, down=True))[0] and desk.core.trial == "new"
+    host = Host(core())
+    assert host.handle(command_of(m.Try, order=order, down=True)) == (False, "the node is serving now")
+    assert host.handle(command_of(m.Back, 6, generation="new", reason="x", down=True)) == (
+        False, "the node is serving now")
+    assert host.core.course is Course.SETTLED and host.fence.step == 6
+    host.down = True
+    assert host.handle(command_of(m.Try, 7, order=order, down=True))[0] and host.core.trial == "new"
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -440,7 +440,7 @@
 
 def _refused(run: KeptRun, name: str) -> bool:
     text = run.controller_log.read_text()
-    return any("the disk takes no state" in line and f'"{name}"' in line for line in text.splitlines())
+    return any("the state could not be written to disk" in line and f'"{name}"' in line for line in text.splitlines())
 
 
 def test_a_site_that_dies_in_a_stage_pauses_the_change_and_it_goes_on_when_told(tmp_path: Path) -> None:
