--- a/headspar/keeper/fence.py
+++ b/headspar/keeper/fence.py
@@ -39,7 +39,7 @@
             return Verdict.AGAIN
         return Verdict.NEW if step > self.step else Verdict.OLD
 
-    def take(self, epoch: int, step: int, answer: dict[str, Any] | None) -> Fence:
+    def accept(self, epoch: int, step: int, answer: dict[str, Any] | None) -> Fence:
         """The fence after accepting a command that was judged new."""
         if step == 0:
             return Fence(epoch, self.step, self.answer)
--- a/headspar/keeper/generations.py
+++ b/headspar/keeper/generations.py
@@ -98,7 +98,7 @@
             if path.name.startswith("."):
                 shutil.rmtree(path, ignore_errors=True)
 
-    def keep(self, names: set[str]) -> None:
+    def remove_others(self, names: set[str]) -> None:
         """Remove all generations but these."""
         for name in self.names():
             if name not in names:
--- a/headspar/keeper/host.py
+++ b/headspar/keeper/host.py
@@ -47,7 +47,7 @@
 TICK_S = 0.05
 READINESS_POLL_S = 0.05  # interval of health checks of a process that starts or drains
 POLL_S = 0.5  # interval of polls of the serving process
-UNRESPONSIVE_S = 3.0  # an unproven trial without an answer for this time is killed
+UNRESPONSIVE_S = 3.0  # without an answer for this time the node is reported, and a trial not yet proven is killed
 CONNECTION_TIMEOUT_S = 5.0  # for a controller to send its line, and again to read the reply
 MAX_CONNECTIONS = 32  # of controllers, at once
 
@@ -363,7 +363,7 @@
         self.node_processes[action.key] = process
         failpoint("keeper.spawned")
         self._save()
-        processes.go(handle)
+        processes.release(handle)
         self.events.say("keeper.process_started", pid=handle.pid, generation=action.generation, beside=action.beside)
         self._watch(process)
         process.task = self._spawn(self._wait_until_ready(process))
@@ -604,7 +604,7 @@
         try:
             wanted = {message.generation, self.core.lasting.present, self.core.lasting.before, self.core.trial,
                       *(p.generation for p in self.core.procs.values())}
-            await asyncio.to_thread(self.store.keep, wanted)
+            await asyncio.to_thread(self.store.remove_others, wanted)
             await asyncio.to_thread(self.store.fetch, Path(message.path), message.generation)
         except GenerationError as error:
             why = str(error)
--- a/headspar/keeper/processes.py
+++ b/headspar/keeper/processes.py
@@ -67,7 +67,8 @@
 
 
 def prepare(command: list[str], environ: dict[str, str], folder: Path, log: Path) -> Handle:
-    """Start a launcher that executes ``command`` after ``go``; ``OSError`` if that fails.  Rotates the log first."""
+    """Start a launcher that executes ``command`` after ``release``; ``OSError`` if that fails.  Rotates a large log
+    first."""
     with contextlib.suppress(OSError):
         if log.stat().st_size > LOG_ROTATE_BYTES:
             log.replace(log.with_name(log.name + ".1"))
@@ -79,7 +80,7 @@
     return Handle(child.pid, start_ticks(child.pid), os.pidfd_open(child.pid), child)
 
 
-def go(handle: Handle) -> None:
+def release(handle: Handle) -> None:
     """Let a prepared process execute its command; call this once its record is on disk."""
     assert handle.child is not None and handle.child.stdin is not None
     with contextlib.suppress(OSError):
--- a/headspar/keeper/words.py
+++ b/headspar/keeper/words.py
@@ -70,7 +70,7 @@
 ) -> Fence:
     """Apply a command that counts to the durable state, and save the state with the new fence through ``keep``.
     Returns the fence in force: the previous one, with the state restored, if saving failed."""
-    after = fence.take(command.epoch, assessment.step,
+    after = fence.accept(command.epoch, assessment.step,
                        {"ok": assessment.ok, "why": assessment.why} if assessment.step else None)
     before = copy.deepcopy(core.lasting)
     if assessment.ok:
--- a/headspar/snapshot/ages.py
+++ b/headspar/snapshot/ages.py
@@ -75,7 +75,7 @@
           frozenset((OWN, NODE, SITE))),
     Field("shares", "requests by class", 0.0, "counted again within a second", frozenset()),
     Field("tenants", "tokens of the last two seconds", 0.0, "full", frozenset()),
-    Field("retries", "retries that were admitted", 0.0, "the budget of a new node", frozenset()),
+    Field("retries", "requests that were admitted", 0.0, "the budget of a new node", frozenset()),
     Field("outstanding", "attempts in flight", 0.0, "none: they ended with the process", frozenset()),
     Field("peers", "reports of peers", 0.0, "none received; reports are at most 3 s old", frozenset()),
     Field("list", "discovery", HOUR, "the list of the configuration; age does not revive a draining server",
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Header:
-    """Origin of a snapshot.  ``wall_us``: Unix time of its creation; ``offset_us``: the writing node's monotonic
+    """Origin of a snapshot.  ``wall_us``: Unix time of its creation; ``offset_us``: the writing node's
     clock minus Unix time."""
 
     name: str
--- a/headspar/snapshot/keeping.py
+++ b/headspar/snapshot/keeping.py
@@ -22,7 +22,7 @@
 class Keeping:
     """Snapshot schedule of one process.
 
-    ``every_s``: write interval; ``settings``: digest of the node's settings; ``offset_us``: the node's monotonic
+    ``every_s``: write interval; ``settings``: digest of the node's settings; ``offset_us``: the node's
     clock minus Unix time.
     """
 
--- a/tests/keeper/test_parts.py
+++ b/tests/keeper/test_parts.py
@@ -30,11 +30,11 @@
 def test_a_step_counts_once_and_an_epoch_that_is_over_not_at_all() -> None:
     fence = Fence()
     assert fence.judge(1, 5) is Verdict.NEW
-    fence = fence.take(1, 5, {"ok": True})
+    fence = fence.accept(1, 5, {"ok": True})
     assert fence.judge(1, 5) is Verdict.AGAIN and fence.answer == {"ok": True}
     assert fence.judge(1, 4) is Verdict.OLD  # delayed
     assert fence.judge(2, 4) is Verdict.OLD
-    fence = fence.take(2, 0, None)  # a command without a step, of another controller
+    fence = fence.accept(2, 0, None)  # a command without a step, of another controller
     assert fence.judge(1, 6) is fence.judge(1, 5) is fence.judge(1, 0) is Verdict.FENCED
     assert fence.judge(2, 5) is Verdict.AGAIN and fence.judge(2, 6) is Verdict.NEW
 
@@ -45,7 +45,7 @@
     fence, taken = Fence(), []
     for epoch, step in commands:
         if fence.judge(epoch, step) is Verdict.NEW:
-            fence = fence.take(epoch, step, {})
+            fence = fence.accept(epoch, step, {})
             taken.append((epoch, step))
     assert all(a[0] <= b[0] and a[1] < b[1] for a, b in zip(taken, taken[1:], strict=False))
 
@@ -133,7 +133,7 @@
         names.append(digest(source))
         store.fetch(source, names[-1])
     assert store.only_settings(names[0], names[1])
-    store.keep({names[0], names[3]})
+    store.remove_others({names[0], names[3]})
     assert store.names() == sorted([names[0], names[3]])
     other = generation(tmp_path / "other", text="x = 2\n")
     store.fetch(other, digest(other))
