--- a/tests/snapshot/test_over_processes.py
+++ b/tests/snapshot/test_over_processes.py
@@ -38,8 +38,8 @@
 
 
 def newest_snapshot(folder: Path, since: int = 0) -> Snapshot | None:
-    newest, wrong = Store(folder).newest()
-    assert wrong == []
+    newest, errors = Store(folder).newest()
+    assert errors == []
     return newest if newest is not None and newest.serial > since else None
 
 
--- a/tests/snapshot/test_store.py
+++ b/tests/snapshot/test_store.py
@@ -79,12 +79,12 @@
     assert store.claim()
     for serial in (1, 2, 3):
         store.write(encode(HEADER, serial, beliefs), serial)
-    newest, wrong = store.newest()
-    assert newest is not None and newest.serial == 3 and wrong == []
+    newest, errors = store.newest()
+    assert newest is not None and newest.serial == 3 and errors == []
     path = tmp_path / "s" / NAMES[1]
     path.write_bytes(path.read_bytes()[:-1])
-    newest, wrong = store.newest()
-    assert newest is not None and newest.serial == 2 and wrong == [f"{NAMES[1]}: truncated or modified"]
+    newest, errors = store.newest()
+    assert newest is not None and newest.serial == 2 and errors == [f"{NAMES[1]}: truncated or modified"]
     assert store.delete_all() == 2 and store.newest() == (None, [])
 
 
@@ -112,8 +112,8 @@
     finally:
         failpoints.arm({})
     assert error.value.errno == getattr(errno, what)
-    newest, wrong = store.newest()
-    assert newest is not None and newest.serial in (2, 3) and wrong == []
+    newest, errors = store.newest()
+    assert newest is not None and newest.serial in (2, 3) and errors == []
     store.write(encode(HEADER, 4, beliefs), 4)
     assert (found := store.newest()[0]) is not None and found.serial == 4
 
@@ -163,8 +163,8 @@
             process.wait()
             process.stdout.close()
         reported = max([reported, *map(int, lines)])
-        newest, wrong = Store(folder).newest()
-        assert wrong == [] and (newest.serial if newest is not None else 0) >= reported, kill
+        newest, errors = Store(folder).newest()
+        assert errors == [] and (newest.serial if newest is not None else 0) >= reported, kill
         reported = max(reported, newest.serial if newest is not None else 0)
     assert reported > 12
 
