--- a/headspar/interface.py
+++ b/headspar/interface.py
@@ -1,8 +1,8 @@
-"""The types between a proxy node and its decisions: settings, events in, actions out.
+"""Types exchanged between a proxy node and its decision module: settings, events in, actions out.
 
-A node builds ``Balancer(settings, seed)`` (see ``headspar.decide``) and calls ``handle(now_us, events)``
-with what has happened; the returned actions take effect at that time, in order.  All times are whole
-microseconds on one clock that only advances.  Nothing here decides anything.
+A node builds ``Balancer(settings, seed)`` (see ``headspar.decide``) and calls ``handle(now_us, events)`` with the
+events since the last call.  The returned actions take effect at ``now_us``, in order.  All times are integer
+microseconds on one monotonic clock.  This module takes no decisions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Whether a request may be repeated safely."""
 
     RETRYABLE = "retryable"
     DEDUP = "dedup"
@@ -21,7 +21,7 @@
 
 
 class Group(Enum):
-    """Which backends discard repeats of a keyed request."""
+    """The set of backends within which repeats of a keyed request are deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +29,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """Result of an attempt; ``MOOT``: it was never sent."""
 
     OK = 0
     ERROR = 1
@@ -56,12 +56,12 @@
     FULL = "Complete"
     CACHED = "Persisted"
     FAILED = "Error"
-    REACH = "Reach"  # not discovery's: what this node may send to has moved
+    REACH = "Reach"  # not from discovery: the set of backends that this node may use has changed
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of request, as the deployment's settings describe it."""
+    """One class of requests, as configured by the deployment."""
 
     name: str
     aim_us: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A customer of the service and the rate, over all nodes, that is inside its share."""
+    """A customer of the service and its quota over all nodes, requests per second."""
 
     name: str
     quota_rps: float = 0.0
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a node is told at its start.  Impossible values raise ``ValueError`` naming the field."""
+    """Settings of a node.  Invalid values raise ``ValueError`` naming the field."""
 
     classes: list[RequestClass]
     me: int = 0
@@ -101,7 +101,7 @@
     cross_zone_price: float = 0.0
     report_fields: tuple[str, ...] = ()
     quantum_us: int = 1_000
-    # the figures of the four rules
+    # parameters of the four rules
     answer_slack_us: int = 20_000
     drain_grace_us: int = 1_000_000
     ask_every_us: int = 10_000_000
@@ -109,7 +109,7 @@
     ramp_us: int = 20_000_000
     fall_multiple: float = 3.0
     fall_us: int = 2_000_000
-    # what the site allows
+    # limits and permissions of the site
     max_attempts: int = 3
     may_cancel: bool = True
     may_probe: bool = False
@@ -125,7 +125,7 @@
         if not self.classes:
             raise ValueError("classes: at least one request class is needed")
         if len({cls.name for cls in self.classes}) < len(self.classes):
-            raise ValueError("classes: a name comes twice")
+            raise ValueError("classes: names must be unique")
         for cls in self.classes:
             if cls.aim_us <= 0 or cls.deadline_us <= 0:
                 raise ValueError(f"classes[{cls.name}]: aim_us and deadline_us must be above 0")
@@ -136,9 +136,9 @@
         if self.balancers < 1:
             raise ValueError("balancers: must be at least 1")
         if not 0 <= self.me < self.balancers:
-            raise ValueError("me: must lie in 0 .. balancers - 1")
+            raise ValueError("me: must be in 0 .. balancers - 1")
         if not 0 < self.cold_share <= 1:
-            raise ValueError("cold_share: must lie above 0 and at most 1")
+            raise ValueError("cold_share: must be above 0 and at most 1")
         if self.max_attempts < 1:
             raise ValueError("max_attempts: must be at least 1")
         for name in (
@@ -154,8 +154,8 @@
             raise ValueError("fall_multiple: must be above 0")
 
     def warm_share(self, started_at: int, now: int) -> float:
-        """The share of its capacity that a backend must be presumed to have by its age; 1 where its start is not
-        told (0), or is long ago."""
+        """The share of its capacity that a backend is presumed to have at its age, from ``cold_share`` to 1; 1 if its
+        start is unknown (0) or ``ramp_us`` ago or more."""
         age = now - started_at
         if not started_at or age >= self.ramp_us:
             return 1.0
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed before ``deadline_us``."""
+    """A client's request; it needs exactly one final answer before ``deadline_us``."""
 
     id: str
     cls: str
@@ -181,7 +181,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt is the client's now."""
+    """A streamed response has begun; from now on the client receives this attempt and no other."""
 
     id: str
     attempt: int
@@ -191,7 +191,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How one attempt ended; ``final``: the request is over."""
+    """The result of one attempt; ``final``: the request has ended with it."""
 
     id: str
     attempt: int
@@ -204,21 +204,21 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client quit; nothing more is owed."""
+    """The client has disconnected; no answer is needed any more."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set by ``SetTimer`` is due."""
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class BackendEntry:
-    """One line of discovery's list."""
+    """One entry of discovery's list."""
 
     backend: str
     zone: str
@@ -227,13 +227,13 @@
     health: Health
     weight: float = 1.0
     started_at_us: int = 0
-    reachable: bool = True  # whether this node may have connections to it
+    reachable: bool = True  # whether this node may connect to it (subsetting)
 
 
 @dataclass(slots=True)
 class BackendList:
-    """What discovery tells about the backends; ``reach``: the share of those that are ready that this node may
-    send to.  All nodes' parts are alike, so it is also the share of the nodes that sends to one backend."""
+    """A message of discovery.  ``reach``: the share of the ready backends that this node may send to.  All nodes'
+    subsets are of equal size, so it is also the share of the nodes that send to one backend."""
 
     kind: ListKind
     version: int
@@ -243,7 +243,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The result of one ``Probe``."""
+    """The result of an active health check."""
 
     backend: str
     outcome: Outcome
@@ -253,21 +253,22 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """The settings from now on; requests under way keep their class, its effect and their number of attempts."""
+    """New settings, in force from now on; requests in progress keep their class, its effect and their maximum number
+    of attempts."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class ServerExperience:
-    """What the module has learned of one backend; times are the clock's, work in us."""
+    """Learned state of one backend; times are on the node's clock, work is in us."""
 
     id: str
     started_at_us: int
     health: float
     seen: float
     expected: float
-    linger: float  # with what is outstanding
+    linger: float  # decaying load, outstanding work included
     last_ok: int
     trial_at: int
     trial_pause: int
@@ -275,10 +276,10 @@
 
 @dataclass(slots=True)
 class Experience:
-    """What the module has learned, for the process that comes after this one on the same machine.  ``capacity``:
-    its figures by name; ``kinds``: seen and expected latency of a kind of machine; ``classes``: figures of latency;
-    ``shares``: smoothed requests and work of a class within and beyond tenants' shares; ``tenants``: tokens and
-    when they were counted; ``costliest``: in us of work."""
+    """Learned state for the next process on the same machine.  ``capacity``: values by attribute name; ``kinds``:
+    observed and expected latency by kind of machine; ``classes``: parameters of the latency models; ``shares``:
+    smoothed requests and work of a class, within and beyond tenants' shares; ``tenants``: tokens and the time of
+    their last update; ``costliest``: cost class, us of work."""
 
     capacity: dict[str, float]
     kinds: dict[str, list[float]]
@@ -292,8 +293,8 @@
 
 @dataclass(slots=True)
 class Recalled:
-    """Comes right after the first list: what a process before this one has learned.  ``soon``: discovery is to be
-    watched at once, as that process stops soon; not where it has long ended, and maybe with most of the fleet."""
+    """Learned state of an earlier process, sent right after the first list.  ``soon``: start the watch at once,
+    because that process is about to stop; unset if it ended long ago, possibly together with most of the fleet."""
 
     experience: Experience
     soon: bool = True
@@ -301,7 +302,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes from another node."""
+    """A message from another node."""
 
     peer: int
     data: bytes
@@ -318,17 +319,17 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered 0, 1, 2 in the order sent."""
+    """Start an attempt; the attempts of a request are numbered 0, 1, 2 in the order sent."""
 
     id: str
     backend: str
     stop_at_us: int = 0  # 0: at the client's deadline
-    start_by_us: int = 0  # not to be written later, as repeats are no longer dropped then; 0: at any time
+    start_by_us: int = 0  # not to be written later, when repeats are no longer deduplicated; 0: no limit
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away; trying again is harmless."""
+    """Final answer: rejected without having run; the client may safely retry."""
 
     id: str
     retry_after_us: int = 0
@@ -336,14 +337,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, promising nothing."""
+    """Final answer: failed; the request may have run."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     id: str
     attempt: int
@@ -351,7 +352,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` after ``delay_us``."""
+    """Request a ``TimerFired`` after ``delay_us``."""
 
     token: int
     delay_us: int
@@ -359,31 +360,31 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to discovery's changes."""
+    """Watch discovery for changes, or stop doing so."""
 
     enable: bool = True
 
 
 @dataclass(slots=True)
 class TellPeers:
-    """Send at most 256 bytes to every other node of the tier."""
+    """Send a message of at most 256 bytes to every other node of the tier."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
 
-# ---------------------------------------------------------------- what is believed, for the flight recorder
+# ---------------------------------------------------------------- estimates, for the flight recorder
 
 
 @dataclass(slots=True)
 class BackendBelief:
-    """One backend: health and warmth as shares, Nm_i and what is outstanding in us of work."""
+    """Estimates for one backend: health and warmth as shares, Nm_i and outstanding work in us."""
 
     id: str
     health: float
@@ -395,9 +396,10 @@
 
 @dataclass(slots=True)
 class Belief:
-    """What the module believes after a Delta-t.  ``sound``: the sum of speed, warmth and squared health over all
-    backends, in average backends; ``carried``: what K is compared with, us of work for each of them.  Counts run on
-    from the start: first tries and repeats that came, refusals, failures, requests served, attempts."""
+    """Estimates after a Delta-t.  ``sound``: the sum over all backends of speed x warmth x squared health, which is a
+    number of average backends; ``carried``: the load that is compared with K, us of work per average backend;
+    ``horizon_us``: T; ``late``: mean lateness in aims.  The counters run from the start of the process: first
+    requests, repeats, refusals, failures, requests served, attempts."""
 
     at_us: int
     k: float
--- a/headspar/reasons.py
+++ b/headspar/reasons.py
@@ -1,4 +1,4 @@
-"""What stands behind a status in an answer's first line; an empty reason would do (RFC 9112 section 4)."""
+"""Reason phrases of HTTP status lines; an empty phrase would be valid too (RFC 9112 section 4)."""
 
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
