--- a/headspar/adapter.py
+++ b/headspar/adapter.py
@@ -1,8 +1,8 @@
-"""The simulator's wire to ``headspar.interface`` and back.  No decision is taken here.
+"""Adapter between the simulator's line protocol and ``headspar.interface``.  It takes no decisions.
 
-Reads batches of tab-separated lines on standard input, keeps one ``Balancer`` for each instance, writes
-one reply for each batch.  A line that cannot be understood, or an exception, ends the run with a message
-on standard error and a ``bail_out`` line, never with a guess.
+Reads batches of tab-separated lines from standard input, keeps one ``Balancer`` per instance and writes one reply per
+batch.  A malformed line or an exception ends the run with a message on standard error and a ``bail_out`` line; the
+adapter never guesses.
 """
 
 from __future__ import annotations
@@ -46,14 +46,16 @@
 
 
 class WireError(ValueError):
-    """A line that does not follow the wire."""
+    """A line that violates the protocol."""
 
 
 def _opt(text: str) -> str | None:
+    """The text, or None for ``-``."""
     return None if text == "-" else text
 
 
 def _report(text: str) -> dict[str, float] | None:
+    """Parse ``name:value,...``; None if empty or ``-``."""
     if text == "-" or not text:
         return None
     pairs = (pair.split(":") for pair in text.split(","))
@@ -87,7 +89,7 @@
     return BackendEntry(p[1], p[2], p[3], 0 if p[4] == "-" else int(p[4]), HEALTHS[p[5]], weight, started)
 
 
-# message name: (number of parts with the name, parser)
+# message name -> (number of fields, the name included; parser)
 PARSERS: dict[str, tuple[int, Callable[[list[str]], Event]]] = {
     "knock": (8, _request),
     "attempt_end": (8, _outcome),
@@ -100,7 +102,7 @@
 
 
 def render(action: Action) -> str:
-    """One action as a line of the wire."""
+    """One action as a line of the protocol."""
     kind = type(action)
     if kind is Send:
         return f"place\t{action.id}\t{action.backend}\t{action.stop_at_us or '-'}"  # type: ignore[union-attr]
@@ -118,20 +120,21 @@
         return f"memo_to\tall\t{action.data.hex() or '-'}"
     if isinstance(action, Log):
         return "write_log\t" + action.text.replace("\n", " ")
-    raise TypeError(f"no wire form for {kind.__name__}")
+    raise TypeError(f"no wire format for {kind.__name__}")
 
 
 class Adapter:
-    """Holds the instances and turns one batch of lines into one reply."""
+    """Holds the instances and answers batches."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
 
     def reply(self, lines: list[str]) -> str:
-        """The reply to a batch: its lines from ``batch`` to the one before ``your_turn``."""
+        """The reply to a batch, given its lines from ``batch`` up to but not including ``your_turn``.  Raises
+        ``WireError``."""
         head = lines[0].split("\t")
         if head[0] != "batch" or len(head) != 3:
-            raise WireError(f"a batch must open with 'batch', clock and number, not {lines[0]!r}")
+            raise WireError(f"a batch must start with 'batch', clock and number, not {lines[0]!r}")
         now, number = self._int(head[1], lines[0]), self._int(head[2], lines[0])
         out: list[str] = []
         node: int | None = None
@@ -150,7 +153,7 @@
                 node = self._int(p[1], line)
                 continue
             if node is None:
-                raise WireError(f"an event before any 'context': {line!r}")
+                raise WireError(f"event before the first 'context': {line!r}")
             if name == "launch":
                 parts = line.split("\t", 2)
                 if len(parts) != 3:
@@ -166,7 +169,7 @@
                     raise WireError(f"malformed line {line!r}")
                 count = self._int(p[3], line) if p[3] != "-" else 0
                 if count < 0 or i + count > end:
-                    raise WireError(f"'members' announces {count} entries, the batch holds fewer: {line!r}")
+                    raise WireError(f"'members' announces {count} entries but the batch has fewer: {line!r}")
                 entries = [self._entry(text) for text in lines[i : i + count]]
                 i += count
                 version = 0 if p[2] == "-" else self._int(p[2], line)
@@ -176,7 +179,7 @@
                 if spec is None:
                     raise WireError(f"unknown message {name!r} in line {line[:200]!r}")
                 if len(p) != spec[0]:
-                    raise WireError(f"{name!r} needs {spec[0] - 1} values: {line[:200]!r}")
+                    raise WireError(f"{name!r} needs {spec[0] - 1} values, line {line[:200]!r}")
                 try:
                     pending.append(spec[1](p))
                 except (ValueError, KeyError) as error:
@@ -186,11 +189,12 @@
         return "\n".join(out)
 
     def _flush(self, node: int | None, now: int, events: list[Event], out: list[str]) -> None:
+        """Deliver the pending events of an instance and append its actions to the reply."""
         if node is None or not events:
             return
         balancer = self.balancers.get(node)
         if balancer is None:
-            raise WireError(f"an event for instance {node}, which has not been launched")
+            raise WireError(f"event for instance {node}, which has not been launched")
         actions = balancer.handle(now, events)
         if actions:
             out.append(f"source\t{node}")
@@ -201,13 +205,13 @@
         try:
             return int(text)
         except ValueError:
-            raise WireError(f"{text!r} is not a whole number in line {line[:200]!r}") from None
+            raise WireError(f"{text!r} is not an integer in line {line[:200]!r}") from None
 
     @staticmethod
     def _entry(line: str) -> BackendEntry:
         p = line.split("\t")
         if p[0] != "entry" or len(p) != 8:
-            raise WireError(f"an 'entry' line was due, not {line[:200]!r}")
+            raise WireError(f"expected an 'entry' line, not {line[:200]!r}")
         try:
             return _entry(p)
         except (ValueError, KeyError) as error:
@@ -215,6 +219,7 @@
 
 
 def serve(lines: Iterable[bytes], out: BinaryIO) -> int:
+    """Answer all batches of the input; returns the exit code, 0 after the end of the input and 1 after an error."""
     adapter = Adapter()
     batch: list[str] = []
     try:
@@ -229,8 +234,8 @@
             elif line or batch:
                 batch.append(line)
         if batch:
-            raise WireError(f"input ended inside a batch, after {batch[-1][:200]!r}")
-    except Exception as error:  # the wire's contract: say what went wrong, then stop
+            raise WireError(f"input ended within a batch, after {batch[-1][:200]!r}")
+    except Exception as error:  # the protocol requires an error report before the exit
         text = f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
         print(f"headspar.adapter: {text}", file=sys.stderr)
         out.write(f"bail_out\t{text}\n".encode())
--- a/headspar/config.py
+++ b/headspar/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: environment and configuration file."""
+"""Configuration of a node: environment variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class ConfigError(ValueError):
-    """A start that cannot go on; the text is one plain line that names the field."""
+    """An invalid configuration; the message is a single line that names the field."""
 
 
 @dataclass(slots=True)
 class Config:
-    """The node's name, addresses, limits and settings, checked."""
+    """Validated configuration: the node's name, addresses, limits and settings."""
 
     name: str
     listen: Address
@@ -34,15 +34,15 @@
     peers: list[Address]
     peers_all: Address | None
     known: dict[str, Any]
-    ops: Address | None  # the operators' listener
+    ops: Address | None  # address for the operators' endpoints
     settings: Settings
     operator: Operator
-    shape: dict[str, frozenset[str]]  # which keys the file holds
-    raw_settings: Any  # the settings as the file holds them
+    shape: dict[str, frozenset[str]]  # keys present in the file, by section
+    raw_settings: Any  # the settings object as decoded from the file
 
 
 def parse_address(text: object, field: str) -> Address:
-    """``host:port`` as a pair; the host may be a bracketed IPv6 address."""
+    """``host:port`` as a pair; the host may be a bracketed IPv6 address.  Raises ``ConfigError``."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ConfigError(f"{field}: needs host:port, not {text!r}")
@@ -55,10 +55,10 @@
     return raw
 
 
-def _limit(limits: Any, name: str, least: int) -> int:
+def _limit(limits: Any, name: str, minimum: int) -> int:
     value = limits.get(name) if isinstance(limits, dict) else None
-    if isinstance(value, bool) or not isinstance(value, int | float) or value < least:
-        raise ConfigError(f"limits.{name}: needs a number of at least {least}, not {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or value < minimum:
+        raise ConfigError(f"limits.{name}: needs a number of at least {minimum}, not {value!r}")
     return int(value)
 
 
@@ -70,7 +70,7 @@
 
 
 def _operator(environ: Mapping[str, str]) -> Operator:
-    """The operator's file where one is named."""
+    """The operator's settings from the file named in the environment, or the defaults."""
     path = environ.get("HEADSPAR_OPERATOR")
     if not path:
         return Operator()
@@ -81,7 +81,7 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration that the environment names; ``ConfigError`` says what is wrong with it."""
+    """Read the configuration that the environment names; raises ``ConfigError``."""
     for name in ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"):
         if not environ.get(name):
             raise ConfigError(f"{name}: not set")
@@ -106,8 +106,8 @@
         raise ConfigError("peers: needs a list of addresses")
     ops = environ.get("ROUTER_OPS") or raw.get("ops")
     peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
-    # The file can be replaced while the node runs, the environment can't: where both name an address of
-    # discovery, the file's is the newer.
+    # The file can be replaced while the node runs, the environment can't, so the address in the file takes
+    # precedence.
     discovery = parse_address(environ["ROUTER_DISCOVERY"], "ROUTER_DISCOVERY")
     if raw.get("discovery") is not None:
         discovery = parse_address(raw["discovery"], "discovery")
--- a/headspar/settings.py
+++ b/headspar/settings.py
@@ -1,4 +1,4 @@
-"""The settings object, as the simulator's first message and a real node's configuration hold it."""
+"""Parser of the settings object, found in the simulator's first message and in a node's configuration file."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that lacks a key or holds an impossible value; the text names it."""
+    """A settings object with a missing key or an invalid value; the message names it."""
 
 
 def number(raw: Any, name: str, default: float | None = None) -> float:
-    """A finite number at ``name``; the default where it is missing, null or 0 and there is one."""
+    """The finite number at ``name``; the default, if given, where it is missing, null or 0."""
     value = raw[name] if default is None else raw.get(name) or default
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value):
         raise SettingsError(f"settings: {name}: needs a number, not {value!r}")
@@ -22,7 +22,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings from JSON; keys that are unknown are passed over."""
+    """Read the settings from JSON text; unknown keys are ignored.  Raises ``SettingsError``."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -31,7 +31,7 @@
 
 
 def read_settings(raw: Any) -> Settings:
-    """Read the settings from the decoded object."""
+    """Read the settings from the decoded object.  Raises ``SettingsError``."""
     try:
         rules: dict[str, Any] = raw["invariants"]
         limits: dict[str, Any] = raw["policy_limits"]
