--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -64,7 +64,7 @@
             return
 '''
 UNUSABLE = "        self.usable = entry.reachable and not self.drained\n"
-DRAWN = "        drawn = self.draw(r, now)\n"
+DRAWN = "        drawn = self.draw_cold(r, now)\n"
 
 
 def refuses(share: float, when: str = "True") -> tuple[tuple[str, str], ...]:
@@ -94,7 +94,8 @@
     "two attempts for each": Case((
         ("        wait = (1.5 if b.health < 0.6 else OVERDUE) * r.expect\n", "        wait = 0.0\n"),
         ("        if now - last.sent_at < 1.4 * r.expect:\n", "        if False:\n"),
-        ("        if not worth_it or self.copies < 1.0 or self.capacity.acc <= ACC_FLOOR:\n", "        if False:\n"),
+        ("        if not worth_it or self.hedge_tokens < 1.0 or self.capacity.acc <= ACC_FLOOR:\n",
+         "        if False:\n"),
     )),
     "worse in one site": Case(refuses(0.15, 'self.settings.zone == "site-a"')),
     "bad after 50 s": Case(refuses(0.08, "now > 50_000_000 + self.born"), limits=Limits(
--- a/headspar/decide.py
+++ b/headspar/decide.py
@@ -1,33 +1,36 @@
-"""Every decision of a headspar node.  The types are in ``headspar/interface.py``.
+"""Load-balancing and admission decisions of a headspar node.  The types are in ``headspar/interface.py``.
 
-The mechanism is that of Sharifian, Motamedi and Akbari, "Estimation-Based Load-Balancing with Admission
-Control for Cluster Web Servers".  Names are the paper's:
+The mechanism is that of Sharifian, Motamedi and Akbari, "Estimation-Based Load-Balancing with Admission Control for
+Cluster Web Servers".  Names are the paper's:
 
-  W(j)   weight of cost class j: how many of its requests weigh as much as one of the costliest class.
-         Here classes are half-octave buckets of the cost hint; 1/W(j) is kept as the bucket's mid-point in
-         microseconds of work, the same ratio in another unit.  No valid hint: the costliest class seen.
+  W(j)   weight of cost class j: how many of its requests equal one request of the costliest class.  Here
+         classes are half-octave buckets of the cost hint; 1/W(j) is kept as the bucket's mid-point in
+         microseconds of work, the same ratio in another unit.  A request without a valid hint is counted in
+         the costliest class seen.
   n(i,j) this node's outstanding requests of class j at backend i.
-  Nm_i   the critical amount of this node's work at backend i, learned: timeouts, errors, refusals as full
-         and failed connections lower it, prompt answers raise it.
-  AC(i)  = Nm_i - sum_j n(i,j)/W(j), the available capacity.  A request goes to the largest AC(i).
+  Nm_i   the critical amount of this node's work at backend i.  It is learned: timeouts, errors, "full"
+         responses and failed connections lower it, prompt responses raise it.
+  AC(i)  = Nm_i - sum_j n(i,j)/W(j), the available capacity.  A request goes to the backend with the largest
+         AC(i).
   ACC    the fleet's average AC(i)/Nm_i.  While it is at or below 0.3, a request of class j is accepted with
-         probability Pa(j), falling with ACC x k, k = 1/0.3.  Above 0.3 all pass.
-
-What a fleet of many nodes adds, each part with one owner of its state:
-
-  Capacity    n(i,j), Nm_i.  One node holds a sliver of a backend's load, often less than one request, so a
-              sent weight also *lingers*: it is added at the send and decays over a horizon T instead of
-              vanishing on completion.  Nm_i = K x speed_i x health_i^2 x warm_i: K is this node's critical
-              work for an average backend, raised while answers are prompt against their aims and lowered
-              while they are not; speed_i is expected over seen latency, pooled over machines of a kind;
-              health_i falls with failures; warm_i is the capacity a cold backend must be presumed to have.
-  Picker      largest AC(i) among a seeded sample; a trickle of trials to suspects; the budget of cold ones.
-  Peers       what other nodes say they have outstanding, counted in AC by this node's share of it.
-  Admission   shares P_j, ACC, Pa, with worth and tenants' shares.
-  Membership  discovery's list, subscriptions, drains, cold starts.
-  Balancer    a request's life: attempts, safety of repeats, overdue attempts, the answer in time.
-
-``may_send`` and ``may_refuse`` are the one statement of what repeating is allowed.
+         probability Pa(j), which falls with ACC x k, k = 1/0.3.  Above 0.3 every request is accepted.
+
+The classes below extend this to a fleet of many nodes.  Each owns its part of the state:
+
+  Capacity    n(i,j), Nm_i.  One node sends only a small part of a backend's load, often less than one request
+              at a time, so the work of a request also counts as decaying load: it is added at the send and
+              decays over a horizon T, whether or not the request has completed.
+              Nm_i = K x speed_i x health_i^2 x warm_i, where K is this node's critical work for an average
+              backend, raised while latencies are well below their aims and lowered while they are not;
+              speed_i is expected over observed latency, pooled over machines of a kind; health_i falls with
+              failures; warm_i is the share of its capacity that a cold backend is presumed to have.
+  Picker      the largest AC(i) in a random sample, probe requests to unhealthy backends, the budget of cold ones.
+  Peers       the outstanding work that other nodes report, subtracted from AC(i) by this node's share of it.
+  Admission   shares P_j, ACC, Pa(j), with the worth of classes and the shares of tenants.
+  Membership  discovery's list, its watch, drains and cold starts.
+  Balancer    the life of a request: attempts, safe retries, overdue attempts and the final response in time.
+
+``may_send`` and ``may_refuse`` are the only places that state when a request may be repeated or refused.
 """
 
 from __future__ import annotations
@@ -77,66 +80,76 @@
 ALPHA = 0.8  # smoothing of class shares (paper, eq. 6)
 ACC_FLOOR = 0.3  # admission acts at or below this ACC (paper, eq. 9)
 ACC_SCALE = 1 / ACC_FLOOR
-# ---- ours
-INTERVAL_US = 200_000
-SAMPLE = 24
-LINGER_SENDS = 0.6
-LINGER_US = (200_000, 5_000_000)
-CRITICAL = 0.62
-USED_BOUNDS = (0.95, 0.97)  # share of Nm_i in use that a pick assumes: low values herd onto the fastest
-EVIDENCE_US = 1_000_000
-K_SLOPE = 1.5  # steeper, all nodes refuse and admit in step: lateness tells of load a second and more ago
-K_LAG_US = 1_000_000
-DRAIN = 0.7  # of what is finished, the least that is admitted; and the cut for each aim by which answers are late
-STOOD_STILL = 1.5  # of a tick's time since the one before
-OVERDRIVEN = 1.0  # lateness, in aims, beyond which what servers finish says nothing of what they can
-BREAK_EVEN = 0.2  # worth beyond a tenant's share from which refusing it early costs more than the room it leaves
-BEYOND_FLOOR = 0.57  # like ACC_FLOOR, for what is worth nothing: about the ACC of answers that come without a wait
-BEYOND_SPAN = 0.1  # of ACC, around such a floor
-PEER_WEIGHT = 0.7
-PEER_SHARE = 0.4  # full messages a request: at a price of a point each, four tenths of a point
-PEER_STALE_US = 3_000_000
-PEER_UNIT_US = 4_096
-PEER_MOST = 70  # backends in a message of at most 256 bytes, beside those that are out
-OUT_TOLD_US = 6_000_000  # how long peers are told of a backend that discovery has told to be out
-OUT_MOST = 20  # of them in a message
-OUT_SHARE = 0.3  # full messages a request, for these
-SPARED_US = 10_000_000  # how long their word holds without discovery's own
-SPEED_MEMORY_US = 12_000_000
-PRIOR_REQUESTS = 3.0
-SUSPECT = 0.4
-FLOOR = 0.8  # share of a class's base latency that is taken for waits on others
-SILENT = 0.5
-OVERDUE = 2.5
-RETRY_SHARE = 0.1  # of what is admitted
-RETRIES = (10.0, 20.0)  # of a new node, and saved up at most
-COPY_SHARE = 0.1  # as above, of second copies and replacements: mere guesses that another server is sooner
-COPIES = (1.0, 3.0)  # all nodes of a fleet spend them in the same second, when answers begin to come late,
-COPIES_SHARED = 20.0  # and those that all of a fleet's nodes have beside, evenly parted
-COLD_SAFETY = 0.5  # of a cold backend's part, at an ACC of 1
-COLD_PLENTY = 0.6  # ACC up to which it has all of its part
-COLD_EARNED = 2 / 3  # of the multiple that it falls at: the most that prompt answers earn it
-HOMES = 2
-HOME_MARGIN = 1.5
-HOME_KEYS = 10_000  # keys whose homes are remembered
-COLD_HEAVY = 0.1
-WINDOW_MARGIN_US = 150_000  # of the time for repeats: a node may be held up so long between its clock and its write
-KNOWN = 20  # answers, from which the work of a typical request is known
-TRIAL_US = (1_000_000, 8_000_000)  # pause between trials of a suspect: first, longest
-LOG_EVERY_US = 10_000_000  # at most one line of reasons in this time
-GRID_US = 20_000
-# ---- what goes over to a successor, by attribute
+# ---- constants of this implementation
+INTERVAL_US = 200_000  # Delta-t
+SAMPLE = 24  # backends compared for a pick
+HORIZON_SENDS = 0.6  # sends to a backend within the horizon T
+HORIZON_BOUNDS_US = (200_000, 5_000_000)  # minimum and maximum of T
+CRITICAL = 0.62  # lateness in aims at which the offered load brings ACC to its floor
+# bounds of the share of Nm_i that a pick assumes in use; low ones send too much to the fastest backends
+USED_BOUNDS = (0.95, 0.97)
+EVIDENCE_DECAY_US = 1_000_000  # time constant of lateness
+# per aim of lateness; if steeper, all nodes refuse and admit in step, as lateness reports load of a second ago or
+# more
+K_SLOPE = 1.5
+K_LAG_US = 1_000_000  # time constant of K
+QUEUE_DRAIN_SHARE = 0.7  # minimum share of the completed work that is admitted, and the cut per aim of lateness
+PAUSE_RATIO = 1.5  # tick intervals between two ticks from which the node's own process has been paused
+OVERLOAD_LATENESS = 1.0  # lateness in aims above which the completion rate no longer measures capacity
+BREAK_EVEN_WORTH = 0.2  # worth beyond a share from which early refusal costs more than the capacity it frees
+# like ACC_FLOOR, for requests of no worth: about the ACC at which responses come without queueing
+OVER_SHARE_ACC_FLOOR = 0.57
+OVER_SHARE_ACC_SPAN = 0.1  # width of the ramp of ACC around that floor
+PEER_WEIGHT = 0.7  # of peers' outstanding work in AC(i), divided by the nodes that send to the backend
+PEER_MESSAGE_SHARE = 0.4  # full messages per request; at one point per message, 0.4 points per request
+PEER_STALE_US = 3_000_000  # age at which a peer's report is dropped
+PEER_UNIT_US = 4_096  # work per unit in a message
+PEER_MAX_BACKENDS = 70  # backends in a message of at most 256 bytes, not counting those reported as out
+OUT_REPORT_US = 6_000_000  # how long this node reports a backend to peers as out
+OUT_MOST = 20  # backends reported as out in one message
+OUT_MESSAGE_SHARE = 0.3  # full messages per request, for backends reported as out
+AVOID_US = 10_000_000  # how long a backend is avoided on peers' reports alone
+SPEED_MEMORY_US = 12_000_000  # time constant of latencies, at least
+PRIOR_REQUESTS = 3.0  # weight of the prior of a backend's speed, in typical requests
+UNHEALTHY = 0.4  # health below which a backend is unhealthy
+DEPENDENCY_WAIT_SHARE = 0.8  # share of a class's base latency that is taken for waits on dependencies
+OVERDUE_FACTOR = 0.5  # of health, for an overdue attempt without any answer from the backend since
+OVERDUE = 2.5  # times the expected latency, from which an attempt is overdue
+RETRY_SHARE = 0.1  # retry tokens earned per admitted request
+RETRY_TOKENS = (10.0, 20.0)  # retry tokens: initial, maximum
+# tokens earned per admitted request for hedged requests and replaced attempts, which only assume that another server
+# is faster
+HEDGE_SHARE = 0.1
+# All nodes of a fleet spend these tokens in the same second, when latencies rise, so most of them are a fixed number
+# for the whole fleet.
+HEDGE_TOKENS = (1.0, 3.0)  # tokens of one node: initial, maximum
+FLEET_HEDGE_TOKENS = 20.0  # tokens of the fleet, divided evenly among its nodes
+COLD_SAFETY = 0.5  # share of its budget that a cold backend gets at an ACC of 1
+COLD_PLENTY = 0.6  # ACC up to which a cold backend gets its whole budget
+# maximum of the multiplier of a cold backend's budget, as a share of the multiple at which it fails
+COLD_MULTIPLIER_SHARE = 2 / 3
+PREFERRED = 2  # preferred backends of a key
+PREFERRED_MARGIN = 1.5  # of Nm_i, by which the AC of a preferred backend may be below the best
+PREFERRED_CACHE_KEYS = 10_000  # keys whose preferred backends are cached
+COLD_MAX_COST_SHARE = 0.1  # maximum size of a request, as a share of a cold backend's budget for the time fall_us
+# subtracted from the deduplication window: a node may stall this long between its decision and the write
+WINDOW_MARGIN_US = 150_000
+KNOWN_ANSWERS = 20  # answers from which the work of a typical request is known
+PROBE_PAUSE_US = (1_000_000, 8_000_000)  # pause between probe requests to an unhealthy backend: first, maximum
+LOG_EVERY_US = 10_000_000  # minimum time between two log lines with the counts of reasons
+CHECK_GRID_US = 20_000  # checks are aligned to multiples of it
+# ---- attributes that are handed over to the next process, under these names
 CAPACITY_FIGURES = (
     "k", "linger_us", "rate", "work_rate", "served_rate", "steady", "sent_rate", "late_num", "late_den", "pressure",
     "proven", "typical_work", "typical_own", "mean_load", "acc", "ticks",
 )
 CLASS_FIGURES = ("count", "m_lat", "m_cost", "v_cost", "cov", "base", "slope")
-ASK_AGAIN_US = (500_000, 2_000_000)  # half the pause after a call to discovery that failed, and the longest
-RECALLED_ASK_US = 500_000  # a successor watches discovery within it: the process before it stops soon
+WATCH_RETRY_US = (500_000, 2_000_000)  # half the first pause after a failed call to discovery, and the maximum pause
+RESTORED_WATCH_US = 500_000  # a new process starts its watch within this time, as the old process stops soon
 
 OK, ERROR, FULL, TIMEOUT = Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-HEALTH_AFTER = {
+HEALTH_AFTER = {  # factor of health by outcome
     ERROR: 0.75,
     FULL: 0.85,
     TIMEOUT: 0.5,
@@ -149,43 +162,48 @@
     """What this node knows of one backend."""
 
     __slots__ = (
-        "id", "tag", "zone", "kind", "cell", "usable", "drained", "started_at", "n", "out", "linger", "seen",
-        "expected", "health", "warm", "nm", "nm_full", "peers", "trial_at", "trial_pause", "last_ok", "drawn_at",
-        "earned",
+        "id", "tag", "zone", "kind", "cell", "usable", "drained", "started_at", "n", "outstanding", "decaying",
+        "seen", "expected", "health", "warm", "nm", "nm_full", "peers", "probe_at", "probe_pause", "last_ok",
+        "budget_at", "multiplier",
     )
 
     def __init__(self, entry: BackendEntry) -> None:
         self.id = entry.backend
         self.tag = crc32(self.id.encode()) & 0xFFFF
-        self.out = 0  # sum_j n(i,j)/W(j), us of work; exact, as mid-points are whole
-        self.peers = 0  # outstanding from other nodes, as last told
+        self.outstanding = 0  # sum_j n(i,j)/W(j), us of work; exact, as the mid-points are integers
+        self.peers = 0  # outstanding work of other nodes, as last reported, us
         self.n: dict[int, int] = {}  # n(i,j) by the class's 1/W(j)
-        self.place(entry)
+        self.update(entry)
         self.reset()
 
-    def place(self, entry: BackendEntry) -> None:
+    def update(self, entry: BackendEntry) -> None:
+        """Take over the fields of a new entry of discovery's list."""
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.drained = entry.health is not Health.READY
         self.usable = entry.reachable and not self.drained
         self.started_at = entry.started_at_us
 
     def reset(self) -> None:
-        self.linger = 0.0
+        """Discard what has been learned, as for a new server."""
+        self.decaying = 0.0
         self.seen = self.expected = 0.0
         self.health = self.warm = 1.0
         self.nm = self.nm_full = 0.0
-        self.trial_at, self.trial_pause = 0, TRIAL_US[0]
+        self.probe_at, self.probe_pause = 0, PROBE_PAUSE_US[0]
         self.last_ok = -1
-        self.drawn_at = -1  # up to when its budget has been spent, by lot or for want of others; -1: never
-        self.earned = 1.0  # times its part while it is cold, by how prompt it is beside the warm ones
+        # time up to which its cold budget has been spent, by a draw or as the only choice; -1: never
+        self.budget_at = -1
+        # multiplier of its budget while it is cold: how prompt it is compared with the warm backends
+        self.multiplier = 1.0
 
-    def put_off_trial(self, now: int) -> None:
-        self.trial_at = now + self.trial_pause
-        self.trial_pause = min(TRIAL_US[1], 2 * self.trial_pause)
+    def postpone_probe(self, now: int) -> None:
+        """Schedule the next probe request; the pause doubles up to its maximum."""
+        self.probe_at = now + self.probe_pause
+        self.probe_pause = min(PROBE_PAUSE_US[1], 2 * self.probe_pause)
 
 
 class Attempt:
-    """One send of a request; where it went decides where repeats may go."""
+    """One attempt of a request; its zone and cell decide where a repeat may go."""
 
     __slots__ = ("backend", "zone", "cell", "sent_at", "may_have_run", "in_flight")
 
@@ -196,7 +214,8 @@
 
 
 def repeat_by(cls: RequestClass, attempts: Iterable[Attempt]) -> int:
-    """The latest that another attempt may be written; 0 where the class or what has gone before sets no limit."""
+    """The latest time, in us, at which another attempt may be written; 0 if the class and the attempts so far set no
+    limit."""
     if cls.effect is not Effect.DEDUP:
         return 0
     margin = min(WINDOW_MARGIN_US, cls.window_us // 2)
@@ -206,6 +225,8 @@
 def may_send(
     cls: RequestClass, attempts: list[Attempt], zone: str, cell: int, now: int, limit: int, copies: bool
 ) -> bool:
+    """Whether another attempt may go to a backend in ``zone`` and ``cell``.  ``limit``: the maximum number of
+    attempts; ``copies``: whether attempts may run concurrently."""
     if len(attempts) >= limit:
         return False
     if 0 < repeat_by(cls, attempts) <= now:
@@ -225,6 +246,7 @@
 
 
 def may_refuse(cls: RequestClass, attempts: list[Attempt]) -> bool:
+    """Whether the request may be answered with a refusal, after which the client may safely try again."""
     if cls.effect is Effect.RETRYABLE:
         return True
     if cls.effect is Effect.DEDUP and cls.group is Group.ALL:
@@ -233,21 +255,21 @@
 
 
 def cost_class(hint_us: int) -> int:
-    """1/W(j) of the half-octave bucket that a hint falls into, as its mid-point in us of work."""
+    """1/W(j) of the half-octave bucket of a hint: the bucket's mid-point in us of work."""
     if hint_us < 4:
         return 4
-    shift = hint_us.bit_length() - 2  # the two leading bits tell the half-octave
+    shift = hint_us.bit_length() - 2  # the two leading bits select the half-octave
     return ((hint_us >> shift) * 2 + 1) << (shift - 1)
 
 
 class Request:
-    """A request that this node owes an answer."""
+    """A request that this node has accepted and not yet answered."""
 
     __slots__ = ("id", "cls", "cost", "arrived", "deadline", "limit", "attempts", "expect", "streaming", "key")
 
     def __init__(self, id: str, cls: ClassState, cost: int, arrived: int, deadline: int, limit: int) -> None:
         self.id, self.cls, self.cost, self.arrived, self.deadline = id, cls, cost, arrived, deadline
-        self.limit = limit  # of attempts
+        self.limit = limit  # maximum number of attempts
         self.attempts: list[Attempt] = []
         self.expect = cls.base + cls.slope * cost
         self.streaming = False
@@ -255,7 +277,8 @@
 
 
 class ClassState:
-    """Latency seen in one request class, as base + slope x work: what an ordinary answer takes."""
+    """Latency model of one request class, base + slope x work: the latency to expect from a healthy backend, in
+    us."""
 
     __slots__ = ("spec", "index", "count", "m_lat", "m_cost", "v_cost", "cov", "base", "slope", "repeatable")
 
@@ -267,6 +290,7 @@
         self.base, self.slope = 0.1 * spec.aim_us, 1.0
 
     def learn(self, cost: int, latency: int) -> None:
+        """Add one observation to the exponentially weighted means, variance and covariance."""
         self.count += 1
         a = max(0.01, 1.0 / self.count)
         dc, dl = cost - self.m_cost, latency - self.m_lat
@@ -277,6 +301,7 @@
         self.cov = b * (self.cov + a * dc * dl)
 
     def refit(self) -> None:
+        """Fit base and slope by least squares, from eight observations on."""
         if self.count < 8 or self.v_cost <= 0.0:
             return
         self.slope = max(0.0, self.cov / self.v_cost)
@@ -284,64 +309,67 @@
 
 
 class Capacity:
-    """n(i,j), Nm_i and what they are learned from."""
+    """n(i,j), Nm_i and the observations from which they are learned."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.k = 0.0
         self.linger_us = 1_000_000.0  # T
         self.rate = 0.0
-        self.work_rate = 0.0  # us of work per second asked of this node
-        self.served_rate = 0.0  # us of work per second that was served
+        self.work_rate = 0.0  # us of work per second offered to this node
+        self.served_rate = 0.0  # us of work per second that was completed
         self.steady = 0.0
-        self.weight = 0.0  # in AC, of peers' work
-        self.senders = float(settings.balancers)  # nodes that send to one backend
-        self.sent_rate = 0.0  # us of work per second sent by this node of late
+        self.peer_weight = 0.0  # weight of peers' outstanding work in AC(i)
+        self.senders = float(settings.balancers)  # number of nodes that send to one backend
+        self.sent_rate = 0.0  # us of work per second that this node has sent recently
         self.sent = self.sent_work = 0
         self.offered_work = 0
         self.served_work = 0
         self.answers = 0
         self.late_num = self.late_den = 0.0
         self.pressure = 0.0
-        self.proven = 0  # us in which there was evidence of lateness or promptness
+        self.proven = 0  # us with observations of latency
         self.typical_work = 10_000.0  # work of a typical request, us
-        self.typical_own = 50_000.0  # the part of it beyond the floor
+        self.typical_own = 50_000.0  # expected latency of a typical request without the waits on dependencies, us
         self.mean_load = 0.0
         self.kinds: dict[str, list[float]] = {}
         self.acc = 1.0
-        self.sound = self.carried = 0.0  # as ``Belief`` has them
+        self.effective_backends = self.carried = 0.0  # as in ``Belief``
         self.capacity_sum = 1.0  # sum of warm_i
         self.ticks = 0
-        self.standing = 1.0  # the mean of health_i^2
+        self.mean_squared_health = 1.0  # mean of health_i^2 over the warm backends
 
     def send(self, b: Backend, cost: int) -> None:
+        """Count an attempt at its send."""
         b.n[cost] = b.n.get(cost, 0) + 1
-        b.out += cost
-        b.linger += cost
+        b.outstanding += cost
+        b.decaying += cost
         self.sent += 1
         self.sent_work += cost
 
     def ac(self, b: Backend) -> float:
-        """AC(i), with what lingers and this node's share of what peers have outstanding."""
-        return b.nm - b.linger - b.out - self.weight * b.peers
+        """AC(i), with decaying load and this node's share of the peers' outstanding work subtracted."""
+        return b.nm - b.decaying - b.outstanding - self.peer_weight * b.peers
 
-    def unit(self, cost: int) -> float:
-        """What a request spends of a cold backend's budget, us of work: as much as any other.  Drawn by what its hint
-        tells, light ones came, and with its part of the work 2.8 times its part of the requests."""
-        return self.typical_work if self.answers >= KNOWN else max(cost, self.typical_work)
+    def budget_cost(self, cost: int) -> float:
+        """What one request takes from a cold backend's budget, us of work: the same for all requests.  With the
+        hint's work instead, a cold backend received light requests: 2.8 times its share of the requests with its
+        share of the work."""
+        return self.typical_work if self.answers >= KNOWN_ANSWERS else max(cost, self.typical_work)
 
-    def done(self, b: Backend, cost: int) -> None:
+    def complete(self, b: Backend, cost: int) -> None:
+        """Count an attempt at its end."""
         b.n[cost] -= 1
-        b.out -= cost
+        b.outstanding -= cost
 
     def learn(self, b: Backend, r: Request, outcome: Outcome, latency: int, now: int) -> None:
-        """Raise or lower what Nm_i stands on."""
+        """Update health, speed and lateness of a backend from the outcome of one attempt."""
         if outcome is OK:
             b.health += 0.3 * (1.0 - b.health)
             b.last_ok = now
             self.served_work += r.cost
-            b.trial_pause = TRIAL_US[0]
-            own = max(0.2 * r.expect, r.expect - FLOOR * r.cls.base)
+            b.probe_pause = PROBE_PAUSE_US[0]
+            own = max(0.2 * r.expect, r.expect - DEPENDENCY_WAIT_SHARE * r.cls.base)
             over = max(0.1 * own, latency - (r.expect - own))
             b.seen += over
             b.expected += own
@@ -352,7 +380,7 @@
             self.answers += 1
             self.typical_work += max(0.02, 1.0 / self.answers) * (r.cost - self.typical_work)
             r.cls.learn(r.cost, latency)
-            weight = r.cost * self.weight_of(b)
+            weight = r.cost * self.evidence_weight(b)
             self.late_num += weight * self.lateness(r, latency)
             self.late_den += weight
             return
@@ -360,43 +388,46 @@
         if factor is None or (outcome is TIMEOUT and latency < r.expect):
             return
         if outcome is FULL or outcome is TIMEOUT:
-            weight = r.cost * self.weight_of(b)
+            weight = r.cost * self.evidence_weight(b)
             self.late_den += weight
             self.late_num += 2.0 * weight
-        self.blame(b, factor, now)
+        self.penalize(b, factor, now)
 
-    def weight_of(self, b: Backend) -> float:
-        """Evidence on K counts as far as the server stands beside the others: one that turns all away is ill and says
-        nothing of what a sound one carries; where most do, none is ill and all are asked too much."""
-        return min(1.0, b.health * b.health / self.standing)
+    def evidence_weight(self, b: Backend) -> float:
+        """Weight of a backend's lateness in K: its squared health relative to the mean of the warm backends, at most
+        1.  A backend that alone refuses everything is unhealthy and gives no information on the capacity of healthy
+        ones; where most backends refuse, the fleet is overloaded and each of them counts."""
+        return min(1.0, b.health * b.health / self.mean_squared_health)
 
     def lateness(self, r: Request, wait: int) -> float:
-        """In aims, two at most."""
+        """Latency relative to the request's aim, at most 2."""
         return min(2.0, wait / (r.cls.spec.aim_us + r.cls.spec.aim_stretch * r.cost))
 
-    def waiting(self, requests: Iterable[Request], now: int) -> tuple[float, float]:
-        """What late_num and late_den lack of what is out and late already, as if its answers came now.
+    def pending_lateness(self, requests: Iterable[Request], now: int) -> tuple[float, float]:
+        """What the attempts in flight add to late_num and late_den if they are late already, as if they were answered
+        now.
 
-        Lateness known at the answer tells of the line that was there when the request came; of one that grows it
-        tells only once it has grown.
+        The lateness of an answer reflects the queue at the time of the send; a growing queue would show only after it
+        has grown.
         """
         num = den = 0.0
         for r in requests:
             for a in r.attempts:
                 if a.in_flight and (late := self.lateness(r, now - a.sent_at)) > CRITICAL:
-                    weight = r.cost * self.weight_of(a.backend)
+                    weight = r.cost * self.evidence_weight(a.backend)
                     num += weight * late
                     den += weight
         return num, den
 
-    def blame(self, b: Backend, factor: float, now: int) -> None:
+    def penalize(self, b: Backend, factor: float, now: int) -> None:
+        """Multiply the health of a backend by ``factor`` and postpone the next probe request if it is unhealthy."""
         b.health = max(0.05, b.health * factor)
         b.nm = b.nm_full * b.health * b.health
-        if b.health < SUSPECT and now >= b.trial_at:
-            b.put_off_trial(now)
+        if b.health < UNHEALTHY and now >= b.probe_at:
+            b.postpone_probe(now)
 
     def tick(self, pool: list[Backend], now: int, dt: int, requests: Iterable[Request] = ()) -> None:
-        """Every Delta-t: decay, fit, K, Nm_i, ACC."""
+        """Every Delta-t: apply decay and update rates, Nm_i, K and ACC."""
         self.ticks += 1
         seconds = dt / 1e6
         a = min(1.0, seconds / 3.0)
@@ -410,7 +441,7 @@
         if not pool:
             return
         self._set_horizon(len(pool))
-        keep = exp(-dt / self.linger_us)
+        decay = exp(-dt / self.linger_us)
         memory = max(SPEED_MEMORY_US, 3.0 * self.linger_us)
         fade = max(0.0, 1.0 - dt / memory)
         prior = PRIOR_REQUESTS * self.typical_own
@@ -420,83 +451,88 @@
             sums[1] *= fade
             kinds[kind] = (sums[0] + prior) / (sums[1] + prior)
         load = 0.0
-        out = 0
+        outstanding = 0
         quality: list[float] = []
         cold: list[tuple[Backend, float]] = []
-        seen = expected = prior  # of the warm ones
+        seen = expected = prior  # sums over the warm backends
         for b in pool:
-            b.linger *= keep
+            b.decaying *= decay
             b.seen *= fade
             b.expected *= fade
-            stretch = (b.seen + prior * kinds[b.kind]) / (b.expected + prior)
+            latency_ratio = (b.seen + prior * kinds[b.kind]) / (b.expected + prior)
             b.warm = self.settings.warm_share(b.started_at, now)
-            q = min(3.0, max(0.15, 1.0 / stretch)) * b.warm
+            q = min(3.0, max(0.15, 1.0 / latency_ratio)) * b.warm
             quality.append(q)
             if b.warm < 1.0:
-                cold.append((b, stretch))
+                cold.append((b, latency_ratio))
             else:
                 seen += b.seen
                 expected += b.expected
-            load += b.linger + b.out + self.weight * b.peers
-            out += b.out
-        # The least that a cold backend must be presumed to carry is well under what most do: while warm ones are late
-        # and it is prompt, it gets more than that.
-        most = max(1.0, COLD_EARNED * self.settings.fall_multiple)
-        for b, stretch in cold:
-            b.earned = min(most, max(1.0, seen / expected / stretch))
+            load += b.decaying + b.outstanding + self.peer_weight * b.peers
+            outstanding += b.outstanding
+        # The capacity that a cold backend is presumed to have is well below what most have.  Its budget is raised
+        # while warm backends are late and it is prompt.
+        max_multiplier = max(1.0, COLD_MULTIPLIER_SHARE * self.settings.fall_multiple)
+        for b, latency_ratio in cold:
+            b.multiplier = min(max_multiplier, max(1.0, seen / expected / latency_ratio))
         self.capacity_sum = sum(b.warm for b in pool)
         if self.capacity_sum > 0.5 * len(pool):
             per_unit = self.served_rate / self.capacity_sum
-            if per_unit > self.steady or self.pressure <= OVERDRIVEN:
+            if per_unit > self.steady or self.pressure <= OVERLOAD_LATENESS:
                 self.steady += a * (per_unit - self.steady)
-        sound = sum(q * b.health * b.health for b, q in zip(pool, quality, strict=False))
-        # Ordinary requests go to warm ones: what cold ones are like is no measure for these.
+        effective = sum(q * b.health * b.health for b, q in zip(pool, quality, strict=False))
+        # Ordinary requests go to warm backends, so the health of cold ones is left out of the mean.
         warm = [b for b in pool if b.warm >= 1.0] or pool
-        self.standing = max(0.0025, sum(b.health * b.health for b in warm) / len(warm))
-        self._learn_pressure(dt, *self.waiting(requests, now))
-        # What is carried now, in the unit of K; the counters' lingering part would answer a second late.
-        carried = (self.sent_rate * self.linger_us / 1e6 + out) / sound
-        self.sound, self.carried = sound, carried
-        self._learn_k(carried, self.work_rate * self.linger_us / 1e6 / sound, dt)
+        self.mean_squared_health = max(0.0025, sum(b.health * b.health for b in warm) / len(warm))
+        self._learn_pressure(dt, *self.pending_lateness(requests, now))
+        # Current load in the unit of K.  The counters' decaying load would lag by a second.
+        carried = (self.sent_rate * self.linger_us / 1e6 + outstanding) / effective
+        self.effective_backends, self.carried = effective, carried
+        self._learn_k(carried, self.work_rate * self.linger_us / 1e6 / effective, dt)
         self.acc = max(0.0, 1.0 - carried / self.k)
-        # A pick's Nm_i is never far from what is carried: in deep overload speeds must go on counting.
-        k = load / sound / min(USED_BOUNDS[1], max(USED_BOUNDS[0], 1.0 - self.acc)) + 1.0
+        # The Nm_i used for picks stay close to the current load: in deep overload, differences in speed must still
+        # count.
+        k = load / effective / min(USED_BOUNDS[1], max(USED_BOUNDS[0], 1.0 - self.acc)) + 1.0
         for b, q in zip(pool, quality, strict=False):
             b.nm_full = k * q
             b.nm = b.nm_full * b.health * b.health
         self.mean_load = load / len(pool)
 
     def _learn_k(self, carried: float, offered: float, dt: int) -> None:
-        edge = 1.0 / (1.0 - ACC_FLOOR)  # at CRITICAL, all that is asked brings ACC just to its floor
-        # Before its first answers a node admits what is asked.  From them on K has its lag: those of the first second
-        # come from lines that are still empty, and K that followed them let a fleet that had come back together take
-        # whatever its callers asked again.
-        young = not self.proven
-        least = edge if young else 0.1
-        # The more is late, the less counts what is asked beyond what is carried: refused callers ask again.
-        times = min(4.0, max(least, edge + K_SLOPE * (CRITICAL - self.pressure)))
-        beyond = min(1.0, max(0.0, (times - 1.0) / (edge - 1.0))) * max(0.0, offered - carried)
-        want = (carried + beyond) * times
-        # Servers that are late finish what they can carry: K falls short of it by as much as drains the line of what
-        # waits, no further.  Nodes that all cut by lateness alone leave servers empty until they hear of it.
-        done = edge * self.served_rate * self.linger_us / 1e6 / self.sound
-        want = max(want, done * max(DRAIN, 1.0 - DRAIN * (self.pressure - CRITICAL)))
-        if want > self.k and (young or self.acc > ACC_FLOOR):
-            self.k = want  # all that is asked is answered promptly: a jump of it is no overload
+        """Move K towards the load at which latencies meet their aims.  ``carried``: current load, ``offered``: load
+        if every offered request was accepted, both in the unit of K."""
+        edge = 1.0 / (1.0 - ACC_FLOOR)  # at a lateness of CRITICAL, the offered load brings ACC just to its floor
+        # Before its first answers a node admits the offered load.  After them K changes with a lag: the answers of
+        # the first second come from empty queues, and a K that followed them at once let a fleet that had recovered
+        # together accept all retries of its clients.
+        no_evidence = not self.proven
+        min_multiple = edge if no_evidence else 0.1
+        # With rising lateness, offered load beyond the current load counts less, as refused clients retry.
+        multiple = min(4.0, max(min_multiple, edge + K_SLOPE * (CRITICAL - self.pressure)))
+        extra = min(1.0, max(0.0, (multiple - 1.0) / (edge - 1.0))) * max(0.0, offered - carried)
+        target = (carried + extra) * multiple
+        # Late servers complete what they can.  K stays below that rate only by as much as drains their queues.  Nodes
+        # that all cut by lateness alone leave servers idle until lower latencies are observed.
+        completed = edge * self.served_rate * self.linger_us / 1e6 / self.effective_backends
+        target = max(target, completed * max(QUEUE_DRAIN_SHARE, 1.0 - QUEUE_DRAIN_SHARE * (self.pressure - CRITICAL)))
+        if target > self.k and (no_evidence or self.acc > ACC_FLOOR):
+            self.k = target  # latencies are low at the offered load: a jump of the load is no overload
         else:
-            self.k += min(1.0, dt / K_LAG_US) * (want - self.k)
+            self.k += min(1.0, dt / K_LAG_US) * (target - self.k)
         self.k += 1.0
 
     def _set_horizon(self, backends: int) -> None:
+        """Choose T so that a backend gets about HORIZON_SENDS sends from this node within it."""
         if self.rate <= 0.0:
             return
-        want = min(LINGER_US[1], max(LINGER_US[0], LINGER_SENDS * 1e6 * backends / self.rate))
-        ratio = want / self.linger_us
+        target = min(HORIZON_BOUNDS_US[1], max(HORIZON_BOUNDS_US[0], HORIZON_SENDS * 1e6 * backends / self.rate))
+        ratio = target / self.linger_us
         if ratio > 1.3 or ratio < 0.7:
-            self.linger_us = want
+            self.linger_us = target
 
     def _learn_pressure(self, dt: int, num: float = 0.0, den: float = 0.0) -> None:
-        fade = max(0.0, 1.0 - dt / EVIDENCE_US)
+        """Update the mean lateness, the attempts in flight (``num``, ``den``) included, and decay the evidence."""
+        fade = max(0.0, 1.0 - dt / EVIDENCE_DECAY_US)
         if self.late_den > 0.0:
             self.proven += dt
         self.pressure = (self.late_num + num) / max(self.late_den + den, self.typical_work)
@@ -505,200 +541,219 @@
 
 
 class Peers:
-    """What other nodes say: what they have outstanding, and which backends discovery has told them to be out.
+    """Messages between nodes: outstanding work, and the backends that discovery has reported as out.
 
-    The paper's switch saw all traffic, a node sees a sliver of it.  And where discovery has more callers than it can
-    answer, some node has always heard of a drain before this one.
+    The paper's switch sees all traffic, a node only a small part of it.  And where discovery has more callers than it
+    can answer, other nodes learn of a drain before this one.
 
-    A message is a row of triples (backend's tag, work in units): what is outstanding.  Then, if any backend is out,
-    one triple (version of the sender's list, 0) and the tags of those, two bytes each.  A backend that two peers with
-    newer lists than ours call out gets nothing new until discovery tells us ourselves; nothing else follows from it.
+    A message is a sequence of triples (backend's tag of two bytes, work in units of PEER_UNIT_US): the outstanding
+    work.  If any backend is out, a triple (version of the sender's list, 0) follows, and the tags of those backends,
+    two bytes each.  If two peers with newer lists than this node's report a backend as out, this node sends no new
+    requests to it until discovery updates the list; the reports have no other effect.
     """
 
     def __init__(self, settings: Settings, capacity: Capacity, rng: random.Random) -> None:
         self.count = settings.balancers - 1 if settings.may_tell_peers else 0
         self.capacity, self.rng = capacity, rng
-        self.by_hash: dict[int, Backend] = {}
+        self.by_tag: dict[int, Backend] = {}
         self.heard: dict[int, tuple[int, list[tuple[Backend, int]]]] = {}
-        self.tell_at = self.call_out_at = 0
-        self.version = 0  # of discovery's list
-        self.out: dict[int, int] = {}  # by tag: when discovery has told that a backend is out
-        self.called_out: dict[int, int] = {}  # by tag: the first peer that calls a backend out
-        self.spared: dict[int, int] = {}  # by tag: until when, for the word of two
-
-    def told(self, event: BackendList, before: dict[int, Backend], now: int) -> None:
-        """Discovery's own word: it ends what peers have said, and is what they are told."""
+        self.message_at = self.out_message_at = 0
+        self.version = 0  # version of discovery's list
+        self.out_since: dict[int, int] = {}  # by tag: when discovery reported the backend as out
+        self.first_reporter: dict[int, int] = {}  # by tag: the first peer that reported the backend as out
+        self.spared: dict[int, int] = {}  # by tag: until when a backend that two peers reported as out is avoided
+
+    def list_updated(self, event: BackendList, before: dict[int, Backend], now: int) -> None:
+        """Handle an update of discovery's list: it replaces the peers' reports, and decides which backends are
+        reported to peers as out."""
         self.version = event.version
-        self.called_out.clear()
+        self.first_reporter.clear()
         self.spared.clear()
-        draining = {tag for tag, b in self.by_hash.items() if b.drained}
-        gone = self.out.keys() | before.keys()
-        self.out = {
-            tag: self.out.get(tag, now) for tag in sorted(draining | gone - self.by_hash.keys())
-            if tag in draining or now - self.out.get(tag, now) < OUT_TOLD_US
+        draining = {tag for tag, b in self.by_tag.items() if b.drained}
+        gone = self.out_since.keys() | before.keys()
+        self.out_since = {
+            tag: self.out_since.get(tag, now) for tag in sorted(draining | gone - self.by_tag.keys())
+            if tag in draining or now - self.out_since.get(tag, now) < OUT_REPORT_US
         }
 
-    def tell(self, pool: list[Backend], now: int) -> bytes | None:
+    def next_message(self, pool: list[Backend], now: int) -> bytes | None:
+        """The message to the peers that is due now, or None."""
         for peer in [p for p, (at, _) in self.heard.items() if now - at > PEER_STALE_US]:
-            self._forget(peer)
+            self._drop_report(peer)
         data = bytearray()
-        if self.count and now >= self.tell_at:
-            for b in sorted((b for b in pool if b.out), key=lambda b: (-b.out, b.id))[:PEER_MOST]:
+        if self.count and now >= self.message_at:
+            for b in sorted(
+                (b for b in pool if b.outstanding), key=lambda b: (-b.outstanding, b.id)
+            )[:PEER_MAX_BACKENDS]:
                 data += b.tag.to_bytes(2, "big")
-                data.append(min(255, -(-b.out // PEER_UNIT_US)))
-            data = data or bytearray(1)  # nothing outstanding, still to be said: no datagram is empty
-            self.tell_at = now + self._pause(len(data), PEER_SHARE)
-        tags = [tag for tag, at in self.out.items() if now - at < OUT_TOLD_US]
-        if self.count and tags and now >= self.call_out_at:
+                data.append(min(255, -(-b.outstanding // PEER_UNIT_US)))
+            data = data or bytearray(1)  # an idle node reports too; a datagram can't be empty
+            self.message_at = now + self._pause(len(data), PEER_MESSAGE_SHARE)
+        tags = [tag for tag, at in self.out_since.items() if now - at < OUT_REPORT_US]
+        if self.count and tags and now >= self.out_message_at:
             data = data[:len(data) // 3 * 3]
             size = len(data)
             data += (self.version & 0xFFFF).to_bytes(2, "big") + b"\0"
             for tag in self.rng.sample(tags, min(OUT_MOST, len(tags))):
                 data += tag.to_bytes(2, "big")
-            self.call_out_at = now + self._pause(len(data) - size, OUT_SHARE)
+            self.out_message_at = now + self._pause(len(data) - size, OUT_MESSAGE_SHARE)
         return bytes(data) or None
 
     def _pause(self, size: int, share: float) -> int:
-        """Between two messages of so many bytes, us: what all of them cost is a share of this node's requests."""
+        """Pause after a message of ``size`` bytes, us, so that the cost of the messages stays a fixed share of this
+        node's requests."""
         units = self.count * max(8, size) / 256
         return int(max(INTERVAL_US, 1e6 * units / (share * max(1.0, self.capacity.rate)))
                    * (0.75 + 0.5 * self.rng.random()))
 
-    def hear(self, event: PeerMessage, now: int) -> bool:
-        """Whether another backend is spared from now on.  What is of another form than ``tell`` writes, a newer
-        version's say, moves nothing."""
-        data, told = event.data, list[tuple[Backend, int]]()
+    def receive(self, event: PeerMessage, now: int) -> bool:
+        """Handle a peer's message; returns whether another backend is avoided from now on.  A message of any other
+        form than ``next_message`` writes, such as one of a newer version, is ignored."""
+        data, reported = event.data, list[tuple[Backend, int]]()
         end = next((i for i in range(0, len(data) - 2, 3) if not data[i + 2]), len(data) // 3 * 3)
-        rest = len(data) - end  # none, the byte that says nothing, or a word on drains
+        rest = len(data) - end  # nothing, the single byte of an idle node, or a report of backends that are out
         if rest and data != b"\0" and not (rest > 3 and rest % 2 and rest <= 3 + 2 * OUT_MOST):
             return False
-        if len(data) < 3 or data[2]:  # else a word on drains alone, which leaves the peer's figures as they were
-            self._forget(event.peer)
-            self.heard[event.peer] = (now, told)
-            self.capacity.weight = PEER_WEIGHT / self.capacity.senders
+        if len(data) < 3 or data[2]:  # a report of out backends alone leaves the peer's outstanding work unchanged
+            self._drop_report(event.peer)
+            self.heard[event.peer] = (now, reported)
+            self.capacity.peer_weight = PEER_WEIGHT / self.capacity.senders
         at = 0
         while at + 2 < len(data) and data[at + 2]:
-            b = self.by_hash.get(data[at] << 8 | data[at + 1])
+            b = self.by_tag.get(data[at] << 8 | data[at + 1])
             if b is not None:
                 work = data[at + 2] * PEER_UNIT_US
                 b.peers += work
-                told.append((b, work))
+                reported.append((b, work))
             at += 3
-        spares = False
+        newly_avoided = False
         if at + 2 < len(data) and 0 < ((data[at] << 8 | data[at + 1]) - self.version) & 0xFFFF < 0x8000:
-            for i in range(at + 3, len(data) - 1, 2):  # its list is newer than ours
+            for i in range(at + 3, len(data) - 1, 2):  # the peer's list is newer
                 tag = data[i] << 8 | data[i + 1]
-                if tag in self.by_hash and self.called_out.setdefault(tag, event.peer) != event.peer:
-                    spares |= tag not in self.spared
-                    self.spared[tag] = now + SPARED_US
-        return spares
-
-    def over(self, now: int) -> bool:
-        """Whether a backend that was spared is so no longer: discovery has kept silent, and peers' word is old."""
+                if tag in self.by_tag and self.first_reporter.setdefault(tag, event.peer) != event.peer:
+                    newly_avoided |= tag not in self.spared
+                    self.spared[tag] = now + AVOID_US
+        return newly_avoided
+
+    def expire(self, now: int) -> bool:
+        """Drop expired reports; returns whether any backend is no longer avoided, as discovery has sent no update
+        since."""
         ended = [tag for tag, until in self.spared.items() if now >= until]
         for tag in ended:
-            del self.spared[tag], self.called_out[tag]
+            del self.spared[tag], self.first_reporter[tag]
         return bool(ended)
 
-    def _forget(self, peer: int) -> None:
+    def _drop_report(self, peer: int) -> None:
+        """Remove the outstanding work that a peer has reported."""
         for b, work in self.heard.pop(peer, (0, []))[1]:
             b.peers -= work
 
 
 class Picker:
-    """The largest AC(i), and the two exceptions: trials of suspects, budgets of cold backends."""
+    """Picks the backend with the largest AC(i), with two exceptions: probe requests to unhealthy backends and the
+    budgets of cold ones."""
 
     def __init__(self, settings: Settings, capacity: Capacity, rng: random.Random) -> None:
         self.settings, self.capacity, self.rng = settings, capacity, rng
-        self.pool: list[Backend] = []  # usable, in an order of this node's own
+        self.pool: list[Backend] = []  # usable backends, shuffled per node
         self.ring: list[Backend] = []
-        self.suspects: list[Backend] = []
+        self.unhealthy: list[Backend] = []
         self.cold: list[Backend] = []
-        self.home_cache: dict[str, list[Backend]] = {}
-        self.turn = 0
+        self.preferred_cache: dict[str, list[Backend]] = {}
+        self.cold_turn = 0
 
     def set_pool(self, backends: list[Backend]) -> None:
+        """Replace the usable backends."""
         self.pool = backends[:]
         self.rng.shuffle(self.pool)
         self.ring = self.pool + self.pool[:SAMPLE]
-        self.home_cache.clear()
+        self.preferred_cache.clear()
 
-    def sort_out(self) -> None:
-        """Every Delta-t, and when the pool has changed: who is suspect, who is cold."""
-        self.suspects = [b for b in self.pool if b.health < SUSPECT]
+    def classify(self) -> None:
+        """Every Delta-t, and when the pool has changed: find the unhealthy and the cold backends."""
+        self.unhealthy = [b for b in self.pool if b.health < UNHEALTHY]
         self.cold = [b for b in self.pool if b.warm < 1.0]
 
-    def draw(self, r: Request, now: int) -> Backend | None:
-        """A cold backend that a request is part of the budget of, or none.
+    def draw_cold(self, r: Request, now: int) -> Backend | None:
+        """A cold backend whose budget covers this request, or None.
 
-        Each request is offered to one cold backend, in turn, and taken with the probability that spends that one's
-        budget since it was offered one before.  A node of a large fleet meets each backend seldom: asked only when
-        they had the largest AC, cold ones were offered a tenth of their budgets and stood idle.  Each has a clock of
-        its own: with one for all, a sound one got the parts of those that were suspect too, or too cold for most.
+        Each request is offered to one cold backend, in turn, and accepted with the probability that spends the budget
+        that has accrued since the last offer.  A node of a large fleet sends to each backend rarely: when a cold
+        backend was used only if it had the largest AC, it was offered a tenth of its budget and stayed idle.  Each
+        backend has its own budget clock: with one for all, a healthy backend also received the budgets of those that
+        were unhealthy or too cold for most requests.
         """
         cold = self.cold
         if not cold:
             return None
-        self.turn += 1
-        b = cold[self.turn % len(cold)]
-        if b.health < SUSPECT:
-            # No more than one window's part is saved up for a trial, or for when it is sound again.
-            b.drawn_at = max(b.drawn_at, now - self.settings.fall_us) if b.drawn_at >= 0 else -1
+        self.cold_turn += 1
+        b = cold[self.cold_turn % len(cold)]
+        if b.health < UNHEALTHY:
+            # At most one window's budget accrues for a probe request, or until the backend is healthy again.
+            b.budget_at = max(b.budget_at, now - self.settings.fall_us) if b.budget_at >= 0 else -1
             return None
         window, rate = self.budget(b, now)
-        if r.cost > COLD_HEAVY * window:
+        if r.cost > COLD_MAX_COST_SHARE * window:
             return None
         fall = self.settings.fall_us
-        elapsed = min(fall * len(cold), now - b.drawn_at) if b.drawn_at >= 0 else self.rng.random() * fall
-        b.drawn_at = now
-        chance = rate * elapsed / 1e6 / self.capacity.unit(r.cost)
-        if chance > 1.0:  # the rest stays for the next
-            b.drawn_at -= int(elapsed * (1.0 - 1.0 / chance))
+        elapsed = min(fall * len(cold), now - b.budget_at) if b.budget_at >= 0 else self.rng.random() * fall
+        b.budget_at = now
+        chance = rate * elapsed / 1e6 / self.capacity.budget_cost(r.cost)
+        if chance > 1.0:  # the unspent budget stays for the next request
+            b.budget_at -= int(elapsed * (1.0 - 1.0 / chance))
         return b if self.rng.random() < chance else None
 
     def budget(self, b: Backend, now: int) -> tuple[float, float]:
-        """What all nodes may send a cold backend within the time that it takes to fall over, us of work; and the
-        rate of this node's part, us of work a second."""
+        """The work, in us, that all nodes may send to a cold backend within ``fall_us``, and the rate of this node's
+        part, us of work per second."""
         c, s = self.capacity, self.settings
         warm = s.warm_share(b.started_at, now)
-        # A node that started a moment ago has a steady rate still on its way up; with that alone, nodes that come
-        # back together starve the cold servers and push the warm ones over.
+        # The steady rate of a node that has just started is still rising.  With that rate alone, nodes that recover
+        # together send too little to cold servers and overload the warm ones.
         per_unit = max(c.steady, c.served_rate / c.capacity_sum)
         if per_unit <= 0.0:
             per_unit = c.work_rate / len(self.pool)
-        # Gentle while there is plenty; from an ordinary load on a cold server does its part like a warm one.
+        # A cold backend gets a reduced budget while capacity is plentiful, and its whole budget from an ordinary load
+        # on.
         plenty = max(0.0, c.acc - COLD_PLENTY) / (1.0 - COLD_PLENTY)
-        rate = (1.0 - (1.0 - COLD_SAFETY) * plenty) * warm * per_unit * b.earned
+        rate = (1.0 - (1.0 - COLD_SAFETY) * plenty) * warm * per_unit * b.multiplier
         return s.fall_multiple * warm * per_unit * c.senders * s.fall_us / 1e6, rate
 
-    def gate(self, b: Backend, cost: int, now: int) -> bool:
-        """Whether a cold backend's own budget takes a request that nothing else is left for."""
+    def admit_cold(self, b: Backend, cost: int, now: int) -> bool:
+        """Whether the budget of a cold backend covers a request for which no other backend is left."""
         if self.settings.warm_share(b.started_at, now) >= 1.0:
             return True
         window, rate = self.budget(b, now)
         fall = self.settings.fall_us
-        elapsed = min(fall, now - b.drawn_at) if b.drawn_at >= 0 else self.rng.random() * fall
-        b.drawn_at = now
-        return cost <= COLD_HEAVY * window and self.rng.random() * self.capacity.unit(cost) < rate * elapsed / 1e6
+        elapsed = min(fall, now - b.budget_at) if b.budget_at >= 0 else self.rng.random() * fall
+        b.budget_at = now
+        return (
+            cost <= COLD_MAX_COST_SHARE * window
+            and self.rng.random() * self.capacity.budget_cost(cost) < rate * elapsed / 1e6
+        )
 
-    def homes(self, key: str) -> list[Backend]:
-        found = self.home_cache.get(key)
+    def preferred(self, key: str) -> list[Backend]:
+        """The preferred backends of a key, by rendezvous hashing: all nodes with the same pool choose the same
+        ones."""
+        found = self.preferred_cache.get(key)
         if found is None:
-            if len(self.home_cache) >= HOME_KEYS:
-                self.home_cache.clear()
+            if len(self.preferred_cache) >= PREFERRED_CACHE_KEYS:
+                self.preferred_cache.clear()
             data = key.encode()
             ranked = sorted((crc32(b.id.encode(), crc32(data)), b.id, b) for b in self.pool)
-            found = self.home_cache[key] = [b for _, _, b in ranked[:HOMES]]
+            found = self.preferred_cache[key] = [b for _, _, b in ranked[:PREFERRED]]
         return found
 
     def allowed(self, r: Request, now: int) -> list[Backend]:
+        """The backends to which another attempt may be sent."""
         s, spec = self.settings, r.cls.spec
         return [
             b for b in self.pool
             if may_send(spec, r.attempts, b.zone, b.cell, now, r.limit, s.second_copies)
         ]
 
-    def pick(self, r: Request, now: int, trial: bool) -> Backend | None:
+    def pick(self, r: Request, now: int, probe: bool) -> Backend | None:
+        """The backend for the next attempt, or None.  ``probe``: whether the request may be a probe request."""
         pool = self.pool
         size = len(pool)
         if not size:
@@ -709,13 +764,13 @@
             allowed = self.allowed(r, now)
             candidates = [b for b in allowed if b not in used] or allowed
         else:
-            if trial and self.suspects:
-                b = self.suspects[0]
-                if now >= b.trial_at and b.usable and self.gate(b, r.cost, now):
-                    b.put_off_trial(now)
-                    self.suspects.append(self.suspects.pop(0))
+            if probe and self.unhealthy:
+                b = self.unhealthy[0]
+                if now >= b.probe_at and b.usable and self.admit_cold(b, r.cost, now):
+                    b.postpone_probe(now)
+                    self.unhealthy.append(self.unhealthy.pop(0))
                     return b
-            drawn = self.draw(r, now)
+            drawn = self.draw_cold(r, now)
             if drawn is not None:
                 return drawn
             start = int(self.rng.random() * size)
@@ -731,18 +786,18 @@
                     best, best_ac = b, ac
         if best is None:
             for b in candidates:
-                if self.gate(b, r.cost, now):
+                if self.admit_cold(b, r.cost, now):
                     return b
         elif r.key is not None and not attempts:
-            for b in self.homes(r.key):
+            for b in self.preferred(r.key):
                 ac = available(b)
-                if b.warm >= 1.0 and b.health >= SUSPECT and ac > best_ac - HOME_MARGIN * b.nm:
+                if b.warm >= 1.0 and b.health >= UNHEALTHY and ac > best_ac - PREFERRED_MARGIN * b.nm:
                     return b
         return best
 
 
 class Admission:
-    """P_j, Pa(j), tenants' shares."""
+    """P_j, Pa(j) and the tenants' shares."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.rng = rng
@@ -752,14 +807,14 @@
         self.smooth_work: list[float] = []
         self.pa: list[float] = []
         self.tenants: dict[str, list[float]] = {}
-        self.change(settings)
+        self.update_settings(settings)
 
-    def change(self, settings: Settings) -> None:
-        """New settings: classes and tenants that stay keep their figures."""
+    def update_settings(self, settings: Settings) -> None:
+        """Apply new settings; classes and tenants that stay keep their state."""
         self.settings = settings
         names = [c.name for c in settings.classes]
         half = len(self.index)
-        # Where a class's figures stood, and the same beyond its tenant's share.
+        # Old index of each class, followed by the old index of its requests beyond a tenant's share.
         old = [self.index.get(name) for name in names] + [
             self.index[name] + half if name in self.index else None for name in names
         ]
@@ -767,7 +822,7 @@
         def kept(row: list[float], new: float) -> list[float]:
             return [new if j is None else row[j] for j in old]
 
-        self.lq = [0.0] * len(old)  # arrivals in this interval
+        self.arrivals = [0.0] * len(old)  # requests of each class in this interval
         self.work = [0.0] * len(old)
         self.smooth, self.smooth_work = kept(self.smooth, 0.0), kept(self.smooth_work, 0.0)
         self.pa = kept(self.pa, 1.0)
@@ -778,7 +833,7 @@
         }
 
     def over_share(self, tenant: str | None, now: int) -> bool:
-        """Whether a request is beyond this node's part of its tenant's quota: a bucket of two seconds."""
+        """Whether a request exceeds this node's part of its tenant's quota: a token bucket of two seconds."""
         t = self.tenants.get(tenant) if tenant is not None else None
         if t is None:
             return False
@@ -793,7 +848,8 @@
         return False
 
     def accept(self, index: int, cost: int) -> bool:
-        self.lq[index] += 1.0
+        """Count an arrival and accept it with probability Pa(j)."""
+        self.arrivals[index] += 1.0
         self.work[index] += cost
         pa = self.pa[index]
         if pa >= 1.0 or self.rng.random() < pa:
@@ -801,29 +857,31 @@
         self.refused += 1
         return False
 
-    def tick(self, acc: float, least: float = 0.0) -> None:
-        """Every Delta-t: smooth the shares, then Pa.  ``least``: the share of offered work that passes at any ACC.
+    def tick(self, acc: float, min_share: float = 0.0) -> None:
+        """Every Delta-t: smooth the shares, then compute Pa(j).  ``min_share``: the share of the offered work that is
+        accepted at any ACC.
 
-        As printed, Pa(j) sums to one over classes and prefers floods of cheap requests.  Here the same
-        product, share x preference x (ACC x k), is scaled so that ACC x k is the accepted share of all
-        offered work, and the preference is the class's worth for its work.
+        As printed in the paper, Pa(j) sums to one over the classes and favours floods of cheap requests.  Here the
+        same product, share x preference x (ACC x k), is scaled so that ACC x k is the accepted share of all offered
+        work, and the preference is the class's worth per work.
         """
         n = len(self.pa)
         for j in range(n):
-            self.smooth[j] += ALPHA * (self.lq[j] - self.smooth[j])
+            self.smooth[j] += ALPHA * (self.arrivals[j] - self.smooth[j])
             self.smooth_work[j] += ALPHA * (self.work[j] - self.smooth_work[j])
-            self.lq[j] = self.work[j] = 0.0
+            self.arrivals[j] = self.work[j] = 0.0
         half = n // 2
         worth = self.settings.over_share_worth
-        cheap = worth < BREAK_EVEN  # beyond the share it is worth less than the wait that it makes for the rest
+        # beyond its share a request is worth less than the delay that it causes to the others
+        cheap = worth < BREAK_EVEN_WORTH
         if acc > ACC_FLOOR:
-            floor = ACC_FLOOR + (BEYOND_FLOOR - ACC_FLOOR) * (1.0 - worth / BREAK_EVEN)
-            beyond = min(1.0, max(0.0, 0.5 + (acc - floor) / BEYOND_SPAN)) if cheap else 1.0
+            floor = ACC_FLOOR + (OVER_SHARE_ACC_FLOOR - ACC_FLOOR) * (1.0 - worth / BREAK_EVEN_WORTH)
+            beyond = min(1.0, max(0.0, 0.5 + (acc - floor) / OVER_SHARE_ACC_SPAN)) if cheap else 1.0
             self.pa = [1.0] * half + [beyond] * half
             return
         work, worths = self.smooth_work, [self._value(j) for j in range(n)]
-        budget = least * sum(work)
-        if cheap:  # what is beyond shares gets what the rest leaves
+        budget = min_share * sum(work)
+        if cheap:  # requests beyond shares get the rest of the budget
             usual = sum(work[:half])
             budget = max(budget, acc * ACC_SCALE * usual)
             self.pa = fill(work[:half], worths[:half], budget) + fill(work[half:], worths[half:], budget - usual)
@@ -831,6 +889,8 @@
             self.pa = fill(work, worths, max(budget, acc * ACC_SCALE * sum(work)))
 
     def _value(self, j: int) -> float:
+        """The preference of a class: its worth per work, lowered by ``over_share_worth`` for requests beyond a
+        tenant's share."""
         s = self.settings
         half = len(s.classes)
         value = s.classes[j % half].worth
@@ -841,6 +901,8 @@
 
 
 def fill(work: list[float], values: list[float], budget: float) -> list[float]:
+    """Acceptance probabilities in proportion to ``values``, each at most 1, so that the accepted work is
+    ``budget``."""
     pa = [0.0] * len(work)
     open_ = [j for j in range(len(work)) if work[j] > 0]
     for j in range(len(work)):
@@ -862,28 +924,30 @@
 
 
 class Membership:
-    """Discovery's list: who may be sent to, and how the list is followed."""
+    """The backends of discovery's list, and when the list is to be watched."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.backends: dict[str, Backend] = {}
-        self.wants = settings.must_subscribe
+        self.subscribes = settings.must_subscribe
         self.ask_at: int | None = None
         self.failures = 0
 
     def start(self, now: int) -> None:
-        if self.wants:
+        """Schedule the first watch, at a random time so that nodes don't call discovery together."""
+        if self.subscribes:
             self.ask_at = now + int(self.rng.random() * 0.4 * self.settings.ask_every_us)
 
-    def take(self, event: BackendList, now: int) -> list[Backend]:
-        fresh: list[Backend] = []
+    def apply(self, event: BackendList, now: int) -> list[Backend]:
+        """Apply a message of discovery; returns the backends that are new or have restarted."""
+        added: list[Backend] = []
         if event.kind is ListKind.FAILED:
-            if self.wants:
-                # It stays short: the node that is turned away most often has the oldest list.
+            if self.subscribes:
+                # The maximum pause is short: the node whose calls fail most often has the oldest list.
                 self.failures += 1
-                pause = min(0.8 * self.settings.ask_every_us, ASK_AGAIN_US[1], ASK_AGAIN_US[0] * 2**self.failures)
+                pause = min(0.8 * self.settings.ask_every_us, WATCH_RETRY_US[1], WATCH_RETRY_US[0] * 2**self.failures)
                 self.ask_at = now + int(pause * (0.5 + self.rng.random()))
-            return fresh
+            return added
         if event.kind in (ListKind.DELTA, ListKind.FULL):
             self.failures = 0
         listed = set()
@@ -892,28 +956,28 @@
             b = self.backends.get(entry.backend)
             if b is None:
                 b = self.backends[entry.backend] = Backend(entry)
-                fresh.append(b)
+                added.append(b)
                 continue
             restarted = entry.started_at_us > b.started_at
             started = max(b.started_at, entry.started_at_us)
-            b.place(entry)
+            b.update(entry)
             b.started_at = started
             if restarted:
                 b.reset()
-                fresh.append(b)
-        # What is gone is forgotten: ids are ever new, and this table would only grow.  Attempts that are
-        # still out hold on to theirs.
+                added.append(b)
+        # Backends that are gone are removed: ids are never reused, and the table would only grow.  Attempts in flight
+        # keep a reference to theirs.
         last = {entry.backend: entry.health for entry in event.entries}
         gone = {id for id, health in last.items() if health is Health.GONE}
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             gone.update(id for id in self.backends if id not in listed)
         for id in gone:
             self.backends.pop(id).usable = False
-        return [b for b in fresh if b.id not in gone]
+        return [b for b in added if b.id not in gone]
 
 
 class Balancer:
-    """One node's decisions: ``handle`` takes what happened at ``now_us`` and returns what to do."""
+    """The decisions of one node: ``handle`` takes the events at ``now_us`` and returns the actions to take."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -926,10 +990,10 @@
         self.classes = [ClassState(c, i) for i, c in enumerate(settings.classes)]
         self.by_name = {c.spec.name: c for c in self.classes}
         self.requests: dict[str, Request] = {}
-        self.late: dict[str, Request] = {}  # over, with attempts still out
+        self.finished: dict[str, Request] = {}  # answered, with attempts still in flight
         self.costliest = cost_class(1000)
-        self.retries, self.copies = RETRIES[0], COPIES[0] + COPIES_SHARED / settings.balancers
-        self.reach = 1.0  # the share of the backends that this node may send to
+        self.retries, self.hedge_tokens = RETRY_TOKENS[0], HEDGE_TOKENS[0] + FLEET_HEDGE_TOKENS / settings.balancers
+        self.reach = 1.0  # the share of the backends to which this node may send
         self.checks: list[tuple[int, int, Request]] = []
         self.serial = 0
         self.tick_at: int | None = None
@@ -940,19 +1004,20 @@
         self.actions: list[Action] = []
         self.firsts = self.repeats = self.refused = self.failed = self.served = self.attempts = 0
         self.handlers = {
-            RequestArrived: self._arrived,
-            AttemptEnded: self._ended,
-            StreamStarted: self._started,
-            ClientGone: self._gone,
-            BackendList: self._list,
-            TimerFired: self._timer,
-            ProbeEnded: self._nothing,
-            PeerMessage: self._peer,
+            RequestArrived: self._request_arrived,
+            AttemptEnded: self._attempt_ended,
+            StreamStarted: self._stream_started,
+            ClientGone: self._client_gone,
+            BackendList: self._backend_list,
+            TimerFired: self._timer_fired,
+            ProbeEnded: self._ignore,
+            PeerMessage: self._peer_message,
             SettingsChanged: self._settings_changed,
-            Recalled: self._recalled,
+            Recalled: self._restore,
         }
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
+        """Process the events in order, then the tick and the checks that are due; returns the actions in order."""
         self.actions = []
         if self.tick_at is None:
             self.tick_at = now_us
@@ -966,10 +1031,11 @@
         checks = self.checks
         while checks and checks[0][0] <= now_us:
             self._check(heappop(checks)[2], now_us)
-        self._arm(now_us)
+        self._arm_timer(now_us)
         return self.actions
 
-    def _arm(self, now: int) -> None:
+    def _arm_timer(self, now: int) -> None:
+        """Set a timer for the next tick or check if none is set that is due earlier."""
         assert self.tick_at is not None
         due = self.tick_at
         if self.checks and self.checks[0][0] < due:
@@ -978,61 +1044,64 @@
             self.timer_at = due
             self.actions.append(SetTimer(1, max(1, due - now)))
 
-    def _timer(self, event: TimerFired, now: int) -> None:
+    def _timer_fired(self, event: TimerFired, now: int) -> None:
         if self.timer_at is not None and now >= self.timer_at:
             self.timer_at = None
 
     def _set_pool(self) -> None:
+        """Use the backends that discovery lists as ready and that peers don't report as out."""
         self.picker.set_pool([
             b for b in self.membership.backends.values() if b.usable and b.tag not in self.peers.spared
         ])
-        self.picker.sort_out()
+        self.picker.classify()
 
-    def _peer(self, event: PeerMessage, now: int) -> None:
-        if self.peers.hear(event, now):
+    def _peer_message(self, event: PeerMessage, now: int) -> None:
+        if self.peers.receive(event, now):
             self._count("spared")
             self._set_pool()
 
-    def _nothing(self, event: Event, now: int) -> None:
-        """Probes are not used."""
+    def _ignore(self, event: Event, now: int) -> None:
+        """Ignore the event: this node sends no active health checks."""
 
     def _count(self, reason: str) -> None:
         self.reasons[reason] = self.reasons.get(reason, 0) + 1
 
     def _tick(self, now: int) -> None:
+        """Every Delta-t: refit latencies, update capacity and admission, report to peers, renew the watch and log."""
         dt = max(1, now - self.ticked_at)
         self.ticked_at = now
         self.tick_at = now + INTERVAL_US
         for cls in self.classes:
             cls.refit()
-        if self.peers.spared and self.peers.over(now):
+        if self.peers.spared and self.peers.expire(now):
             self._set_pool()
-        # A node that has stood still itself has answers yet to read: what seems to wait then says nothing.
-        known = dt < STOOD_STILL * INTERVAL_US
-        self.capacity.tick(self.picker.pool, now, dt, self.requests.values() if known else ())
-        told = self.peers.tell(self.picker.pool, now)
-        if told is not None:
-            self.actions.append(TellPeers(told))
-        self.picker.sort_out()
+        # After a pause of the node's own process, unread answers are still in its sockets, so the apparent wait of
+        # attempts in flight is not evidence of a slow server.
+        on_time = dt < PAUSE_RATIO * INTERVAL_US
+        self.capacity.tick(self.picker.pool, now, dt, self.requests.values() if on_time else ())
+        message = self.peers.next_message(self.picker.pool, now)
+        if message is not None:
+            self.actions.append(TellPeers(message))
+        self.picker.classify()
         c = self.capacity
-        # Where all lines are full ACC is 0 until they have gone: what servers go on finishing is admitted meanwhile,
-        # the most worth first, not nothing and then everything.
-        self.admission.tick(c.acc, min(1.0, DRAIN * c.served_rate / max(1.0, c.work_rate)))
+        # While all queues are full, ACC is 0 until they drain.  Meanwhile the node admits, most worth first, what
+        # servers complete, rather than nothing followed by everything.
+        self.admission.tick(c.acc, min(1.0, QUEUE_DRAIN_SHARE * c.served_rate / max(1.0, c.work_rate)))
         m = self.membership
         if m.ask_at is not None and now >= m.ask_at:
             m.ask_at = None
             self.actions.append(Watch(True))
         if self.reasons and now >= self.log_at:
             self.log_at = now + LOG_EVERY_US
-            why = " ".join(f"{k}={v}" for k, v in sorted(self.reasons.items()))
+            reasons = " ".join(f"{k}={v}" for k, v in sorted(self.reasons.items()))
             self.actions.append(Log(
                 f"ACC {c.acc:.2f} late {c.pressure:.2f} K {c.k:.0f} T {c.linger_us / 1e6:.1f}s"
-                f" suspects {len(self.picker.suspects)}/{len(self.picker.pool)} {why}"
+                f" unhealthy {len(self.picker.unhealthy)}/{len(self.picker.pool)} {reasons}"
             ))
 
-    # ------------------------------------------------------------ a request's life
+    # ------------------------------------------------------------ request handling
 
-    def _arrived(self, e: RequestArrived, now: int) -> None:
+    def _request_arrived(self, e: RequestArrived, now: int) -> None:
         cls = self.by_name.get(e.cls)
         if cls is None:
             cls = ClassState(RequestClass(e.cls, 1_000_000, 1_000_000, effect=Effect.FRAGILE), 0)
@@ -1057,77 +1126,86 @@
             self.refused += 1
             self.actions.append(Refuse(e.id, self._retry_after()))
             return
-        self.retries = min(self.retries + RETRY_SHARE, RETRIES[1])
-        self.copies = min(self.copies + COPY_SHARE, COPIES[1] + COPIES_SHARED / self.settings.balancers)
+        self.retries = min(self.retries + RETRY_SHARE, RETRY_TOKENS[1])
+        self.hedge_tokens = min(
+            self.hedge_tokens + HEDGE_SHARE, HEDGE_TOKENS[1] + FLEET_HEDGE_TOKENS / self.settings.balancers
+        )
         if self.settings.warm_keys:
             r.key = e.key
         self.requests[e.id] = r
         self._dispatch(r, now, True)
 
     def _retry_after(self) -> int:
+        """The Retry-After of a refusal, us; 0 if the site does not allow one."""
         s = self.settings
         return min(s.max_retry_after_us, 1_000_000) if s.retry_after else 0
 
     def _dispatch(self, r: Request, now: int, first: bool) -> None:
+        """Send an attempt, or check again later if no backend may take it."""
         s = self.settings
         margin = 2 * s.quantum_us
         if now >= r.deadline - margin:
-            self._answer(r)
+            self._answer_unserved(r)
             return
         b = self.picker.pick(r, now, first and r.cls.spec.effect is not Effect.FRAGILE)
         if b is None:
             self._count("held")
-            self._later(r, min(now + 50_000, r.deadline - margin))
+            self._schedule_check(r, min(now + 50_000, r.deadline - margin))
             return
         self._send(r, b, now)
 
     def _send(self, r: Request, b: Backend, now: int) -> None:
-        by = repeat_by(r.cls.spec, r.attempts)
+        """Start an attempt, and schedule the check for an overdue one."""
+        start_by = repeat_by(r.cls.spec, r.attempts)
         r.attempts.append(Attempt(b, now))
         self.attempts += 1
         self.capacity.send(b, r.cost)
-        self.actions.append(Send(r.id, b.id, start_by_us=by))
+        self.actions.append(Send(r.id, b.id, start_by_us=start_by))
         if r.cls.repeatable and len(r.attempts) < r.limit:
             wait = (1.5 if b.health < 0.6 else OVERDUE) * r.expect
-            self._later(r, min(now + int(wait), r.deadline))
+            self._schedule_check(r, min(now + int(wait), r.deadline))
 
-    def _later(self, r: Request, at: int) -> None:
+    def _schedule_check(self, r: Request, at: int) -> None:
+        """Schedule a check of the request, aligned to CHECK_GRID_US unless the deadline is near."""
         self.serial += 1
-        at = -(-at // GRID_US) * GRID_US if at + GRID_US < r.deadline else at
+        at = -(-at // CHECK_GRID_US) * CHECK_GRID_US if at + CHECK_GRID_US < r.deadline else at
         heappush(self.checks, (at, self.serial, r))
 
     def _check(self, r: Request, now: int) -> None:
+        """Dispatch a request that is held, or handle an overdue attempt: lower the backend's health, and hedge or
+        replace the attempt if that can still help."""
         if r.id not in self.requests or r.streaming:
             return
-        out = [a for a in r.attempts if a.in_flight]
-        if not out:
+        in_flight = [a for a in r.attempts if a.in_flight]
+        if not in_flight:
             self._dispatch(r, now, False)
             return
-        last = out[-1]
+        last = in_flight[-1]
         if last.backend.last_ok >= last.sent_at:
             return
         if now - last.sent_at < 1.4 * r.expect:
             return
-        self.capacity.blame(last.backend, SILENT, now)
+        self.capacity.penalize(last.backend, OVERDUE_FACTOR, now)
         self._count("overdue")
         spec, s = r.cls.spec, self.settings
         aim_at = r.arrived + spec.aim_us
         worth_it = now + r.expect < (r.deadline if spec.late_worth > 0 else min(aim_at, r.deadline))
-        if not worth_it or self.copies < 1.0 or self.capacity.acc <= ACC_FLOOR:
+        if not worth_it or self.hedge_tokens < 1.0 or self.capacity.acc <= ACC_FLOOR:
             return
-        if s.second_copies and len(out) == 1:
+        if s.second_copies and len(in_flight) == 1:
             b = self.picker.pick(r, now, False)
             if b is not None and b is not last.backend:
-                self.copies -= 1.0
+                self.hedge_tokens -= 1.0
                 self._count("copied")
                 self._send(r, b, now)
         elif not s.second_copies and s.may_cancel:
             self._count("replaced")
-            self.copies -= 1.0
+            self.hedge_tokens -= 1.0
             self.actions.append(CancelAttempt(r.id, len(r.attempts) - 1))
 
-    def _ended(self, e: AttemptEnded, now: int) -> None:
-        r = self.requests.get(e.id) or self.late.get(e.id)
+    def _attempt_ended(self, e: AttemptEnded, now: int) -> None:
+        """Handle the end of an attempt: release its load, learn from it, and retry or give the final answer."""
+        r = self.requests.get(e.id) or self.finished.get(e.id)
         if r is None or e.attempt >= len(r.attempts):
             return
         a = r.attempts[e.attempt]
@@ -1137,86 +1215,89 @@
         outcome = e.outcome
         if outcome in NEVER_RAN:
             a.may_have_run = False
-            self.capacity.sent_work -= r.cost  # it is carried by nobody
-        self.capacity.done(a.backend, r.cost)
+            self.capacity.sent_work -= r.cost  # no backend carries it
+        self.capacity.complete(a.backend, r.cost)
         self.capacity.learn(a.backend, r, outcome, e.latency_us, now)
         live = e.id in self.requests
         if not live or e.final:
             self.served += live and outcome is OK
-            self._over(r)
+            self._finish(r)
             return
         if any(x.in_flight for x in r.attempts):
             return
         if now >= r.deadline - 2 * self.settings.quantum_us or outcome is TIMEOUT:
-            self._answer(r)
+            self._answer_unserved(r)
             return
-        # Repeats of the turned-away too, which made a storm of their own; not of what never left the node.
+        # Retries after a refusal need a token too: unlimited, they caused a retry storm.  Retries of attempts that
+        # never left the node need none.
         if outcome not in (Outcome.CANCELLED, Outcome.MOOT):
             if self.retries < 1.0:
-                self._answer(r)
+                self._answer_unserved(r)
                 return
             self.retries -= 1.0
         if not self.picker.allowed(r, now):
-            self._answer(r)
+            self._answer_unserved(r)
             return
         self._count("again")
         self._dispatch(r, now, False)
 
-    def _over(self, r: Request) -> None:
-        """The request has its answer; attempts still out are called off where that is allowed."""
+    def _finish(self, r: Request) -> None:
+        """The request has its answer; cancel attempts in flight where that is allowed."""
         was_live = self.requests.pop(r.id, None) is not None
-        out = [i for i, a in enumerate(r.attempts) if a.in_flight]
-        if not out:
-            self.late.pop(r.id, None)
+        in_flight = [i for i, a in enumerate(r.attempts) if a.in_flight]
+        if not in_flight:
+            self.finished.pop(r.id, None)
             return
-        self.late[r.id] = r
+        self.finished[r.id] = r
         if was_live and self.settings.may_cancel and not r.streaming:
-            for i in out:
+            for i in in_flight:
                 self.actions.append(CancelAttempt(r.id, i))
 
-    def _answer(self, r: Request) -> None:
-        """The final answer that nothing was served."""
+    def _answer_unserved(self, r: Request) -> None:
+        """Give the final answer of a request that was not served: a refusal if nothing may have run, else a
+        failure."""
         if may_refuse(r.cls.spec, r.attempts) and not any(a.may_have_run for a in r.attempts):
             self.actions.append(Refuse(r.id, self._retry_after()))
             self.refused += 1
         else:
             self.actions.append(Fail(r.id))
             self.failed += 1
-        self._over(r)
+        self._finish(r)
 
     def avoided(self) -> int:
-        """How many listed backends get no ordinary request now: draining, out of reach or suspect."""
-        return sum(1 for b in self.membership.backends.values() if not b.usable or b.health < SUSPECT)
+        """How many listed backends get no ordinary requests now: draining, not reachable or unhealthy."""
+        return sum(1 for b in self.membership.backends.values() if not b.usable or b.health < UNHEALTHY)
 
     def belief(self) -> Belief:
-        """What stands behind the decisions since the last tick; the host asks after one."""
+        """The state behind the decisions since the last tick; the host calls this after a tick."""
         c = self.capacity
         servers = [
-            BackendBelief(b.id, b.health, b.nm, b.out, b.warm, b.usable) for b in self.membership.backends.values()
+            BackendBelief(b.id, b.health, b.nm, b.outstanding, b.warm, b.usable)
+            for b in self.membership.backends.values()
         ]
         return Belief(
-            self.ticked_at, c.k, c.acc, c.sound, c.carried, c.linger_us, c.pressure, self.retries, self.firsts,
-            self.repeats, self.refused, self.failed, self.served, self.attempts, servers,
+            self.ticked_at, c.k, c.acc, c.effective_backends, c.carried, c.linger_us, c.pressure, self.retries,
+            self.firsts, self.repeats, self.refused, self.failed, self.served, self.attempts, servers,
         )
 
-    def _started(self, e: StreamStarted, now: int) -> None:
+    def _stream_started(self, e: StreamStarted, now: int) -> None:
         r = self.requests.get(e.id)
         if r is None:
             return
         r.streaming = True
-        # A second copy can no longer become the answer: it must not run on beside the first.
+        # A hedged attempt can no longer provide the answer and must not run alongside.
         if self.settings.may_cancel:
             for i, a in enumerate(r.attempts):
                 if a.in_flight and i != e.attempt:
                     self.actions.append(CancelAttempt(r.id, i))
 
-    def _gone(self, e: ClientGone, now: int) -> None:
+    def _client_gone(self, e: ClientGone, now: int) -> None:
         r = self.requests.get(e.id)
         if r is not None:
-            self._over(r)
+            self._finish(r)
 
     def experience(self) -> Experience:
-        """What was learned, for the process that comes after this one; the host asks for it."""
+        """The learned state, for the next process on this machine; called by the host."""
         c, a = self.capacity, self.admission
         half = len(self.classes)
         return Experience(
@@ -1225,14 +1306,14 @@
             {name: [x[j] for j in (i, i + half) for x in (a.smooth, a.smooth_work)] for name, i in a.index.items()},
             {name: t[1:] for name, t in a.tenants.items()}, self.costliest, self.retries,
             [
-                ServerExperience(b.id, b.started_at, b.health, b.seen, b.expected, b.linger + b.out, b.last_ok,
-                                 b.trial_at, b.trial_pause)
+                ServerExperience(b.id, b.started_at, b.health, b.seen, b.expected, b.decaying + b.outstanding,
+                                 b.last_ok, b.probe_at, b.probe_pause)
                 for b in self.membership.backends.values()
             ],
         )
 
-    def _recalled(self, e: Recalled, now: int) -> None:
-        """Go on from what another process has learned of the backends, classes and tenants that are here too."""
+    def _restore(self, e: Recalled, now: int) -> None:
+        """Restore the learned state of another process, for the backends, classes and tenants that are here too."""
         x, c, a = e.experience, self.capacity, self.admission
         half = len(self.classes)
         for name in CAPACITY_FIGURES:
@@ -1247,31 +1328,32 @@
         for name, t in a.tenants.items():
             t[1:] = x.tenants.get(name, t[1:])
         self.costliest = max(self.costliest, x.costliest)
-        self.retries = min(RETRIES[1], max(0.0, x.retries))
+        self.retries = min(RETRY_TOKENS[1], max(0.0, x.retries))
         for s in x.servers:
             b = self.membership.backends.get(s.id)
             if b is None or abs(b.started_at - s.started_at_us) > 1_000_000:
-                continue  # it has started anew since, and is another one by now
-            b.health, b.seen, b.expected, b.linger = s.health, s.seen, s.expected, s.linger
-            b.last_ok, b.trial_at, b.trial_pause = s.last_ok, s.trial_at, s.trial_pause
+                continue  # it has restarted since and is another server
+            b.health, b.seen, b.expected, b.decaying = s.health, s.seen, s.expected, s.linger
+            b.last_ok, b.probe_at, b.probe_pause = s.last_ok, s.trial_at, s.trial_pause
         m = self.membership
-        if m.wants and e.soon:
-            m.ask_at = now + int(self.rng.random() * RECALLED_ASK_US)
-        self.tick_at = now  # Nm_i follow from all this
+        if m.subscribes and e.soon:
+            m.ask_at = now + int(self.rng.random() * RESTORED_WATCH_US)
+        self.tick_at = now  # recompute Nm_i from the restored state
 
     def _settings_changed(self, e: SettingsChanged, now: int) -> None:
-        """What was learned of backends, K and classes that stay is kept; requests under way hold on to the class
-        that they came under."""
+        """Apply new settings.  The learned state of backends, K and remaining classes is kept; requests in progress
+        keep the class under which they arrived."""
         s = self.settings = e.settings
         self.capacity.settings = self.picker.settings = self.membership.settings = s
-        self.admission.change(s)
+        self.admission.update_settings(s)
         self.peers.count = s.balancers - 1 if s.may_tell_peers else 0
         self.capacity.senders = max(1.0, s.balancers * self.reach)
-        self.membership.wants = s.must_subscribe
-        self.classes = [self._class(spec, i) for i, spec in enumerate(s.classes)]
+        self.membership.subscribes = s.must_subscribe
+        self.classes = [self._class_state(spec, i) for i, spec in enumerate(s.classes)]
         self.by_name = {c.spec.name: c for c in self.classes}
 
-    def _class(self, spec: RequestClass, index: int) -> ClassState:
+    def _class_state(self, spec: RequestClass, index: int) -> ClassState:
+        """The state of a class under new settings, with the latency model that was learned for its name."""
         before = self.by_name.get(spec.name)
         if before is not None and before.spec == spec:
             before.index = index
@@ -1282,22 +1364,23 @@
                 setattr(state, name, getattr(before, name))
         return state
 
-    def _list(self, e: BackendList, now: int) -> None:
-        fresh = self.membership.take(e, now)
+    def _backend_list(self, e: BackendList, now: int) -> None:
+        """Handle a message of discovery, or a change of the reachable backends."""
+        added = self.membership.apply(e, now)
         c = self.capacity
         if e.kind is ListKind.FAILED:
             return
         self.reach = e.reach
         c.senders = max(1.0, self.settings.balancers * e.reach)
-        before = self.peers.by_hash
-        self.peers.by_hash = {b.tag: b for b in self.membership.backends.values()}
+        before = self.peers.by_tag
+        self.peers.by_tag = {b.tag: b for b in self.membership.backends.values()}
         if e.kind is not ListKind.REACH:
-            self.peers.told(e, before, now)
+            self.peers.list_updated(e, before, now)
         for b in self.membership.backends.values():
             c.kinds.setdefault(b.kind, [0.0, 0.0])
         self._set_pool()
-        for b in fresh:
+        for b in added:
             b.warm = self.settings.warm_share(b.started_at, now)
             b.nm_full = b.nm = c.k * b.warm
-            b.linger = c.mean_load * b.warm * (0.5 + self.rng.random())
-        self.picker.sort_out()
+            b.decaying = c.mean_load * b.warm * (0.5 + self.rng.random())
+        self.picker.classify()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,5 @@
-"""The wire: round trips, malformed input, the same actions however the instances are spread."""
+"""The line protocol: round trips, malformed input, and the same actions however instances are spread over
+processes."""
 
 from __future__ import annotations
 
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -1,4 +1,4 @@
-"""How belief in capacity is lost and regained, driven without sockets."""
+"""How capacity estimates fall and recover; the module is driven without sockets."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from headspar.decide import (
     ACC_FLOOR,
-    COPIES,
-    COPIES_SHARED,
-    COPY_SHARE,
     CRITICAL,
-    DRAIN,
+    FLEET_HEDGE_TOKENS,
+    HEDGE_SHARE,
+    HEDGE_TOKENS,
     INTERVAL_US,
-    OVERDRIVEN,
+    OVERLOAD_LATENESS,
+    QUEUE_DRAIN_SHARE,
     Backend,
     Balancer,
     Capacity,
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Servers that answer after 60 ms, or as ``fate`` says of each; 100 requests a second."""
+    """Servers that answer after 60 ms, or with the outcome given in ``outcomes``; 100 requests per second."""
 
     def __init__(self, servers: int = 9) -> None:
         self.b = Balancer(settings(must_subscribe=False, tenants=[]), 3)
@@ -33,7 +33,7 @@
         self.due: list[tuple[int, AttemptEnded]] = []
         self.b.handle(self.now, [full(servers)])
 
-    def run(self, seconds: float, fate: dict[str, Outcome] | None = None) -> None:
+    def run(self, seconds: float, outcomes: dict[str, Outcome] | None = None) -> None:
         end = self.now + int(seconds * S)
         while self.now < end:
             self.now += 10 * MS
@@ -45,7 +45,7 @@
                 if isinstance(action, Refuse):
                     self.refused += 1
                 elif isinstance(action, Send):
-                    outcome = (fate or {}).get(action.backend, Outcome.OK)
+                    outcome = (outcomes or {}).get(action.backend, Outcome.OK)
                     took = 60 * MS if outcome is Outcome.OK else 2 * MS
                     number = len(self.b.requests[action.id].attempts) - 1
                     ended = AttemptEnded(action.id, number, action.backend, outcome, took, outcome is Outcome.OK)
@@ -59,7 +59,7 @@
     f = Fleet()
     f.run(4)
     c = f.b.capacity
-    assert f.now < f.b.tick_at if f.b.tick_at is not None else False  # no tick comes between
+    assert f.now < f.b.tick_at if f.b.tick_at is not None else False  # no tick in between
     for outcome, ran in ((Outcome.FULL, False), (Outcome.CONNECT_FAILED, False), (Outcome.MOOT, False),
                          (Outcome.OK, True), (Outcome.ERROR, True)):
         r = next(r for r in f.b.requests.values() if any(a.in_flight for a in r.attempts))
@@ -73,28 +73,28 @@
 def test_refusals_of_an_ill_server_say_little_of_what_a_sound_one_carries() -> None:
     f = Fleet(2)
     f.run(2)
-    sound, ill = (f.b.membership.backends[n] for n in f.names())
+    healthy, unhealthy = (f.b.membership.backends[n] for n in f.names())
     c = f.b.capacity
     r = next(iter(f.b.requests.values()))
 
     def evidence(health: float) -> float:
         c.late_num = c.late_den = 0.0
-        ill.health = health
-        c.learn(ill, r, Outcome.FULL, 2 * MS, f.now)
+        unhealthy.health = health
+        c.learn(unhealthy, r, Outcome.FULL, 2 * MS, f.now)
         return c.late_num
 
     assert evidence(1.0) == 2.0 * r.cost
     assert abs(evidence(0.1) - 0.02 * r.cost) < 1e-6 * r.cost
-    assert sound.health > 0.9
+    assert healthy.health > 0.9
 
 
 def test_seven_of_nine_that_turn_away_do_not_keep_the_other_two_from_serving() -> None:
     f = Fleet()
     f.run(6)
-    away = dict.fromkeys(f.names()[:7], Outcome.FULL)
-    f.run(10, away)
+    refusing = dict.fromkeys(f.names()[:7], Outcome.FULL)
+    f.run(10, refusing)
     served, f.refused = f.b.served, 0
-    f.run(10, away)
+    f.run(10, refusing)
     assert f.b.served - served > 0.3 * 1000
     f.run(2)
     f.refused = 0
@@ -103,7 +103,7 @@
 
 
 def late_answers(hint: int | None, over: float, seconds: float = 4.0) -> Balancer:
-    """A node that sees four requests a second, each answered after so many times its aim."""
+    """A node that receives four requests per second, each answered after ``over`` times its aim."""
     b = Balancer(settings(cold_share=1.0, second_copies=False), 1)
     b.handle(0, [full(6)])
     now, i, due = 0, 0, list[tuple[int, AttemptEnded]]()
@@ -123,9 +123,9 @@
 
 @pytest.mark.parametrize("hint", [None, 50_000, 500])
 def test_lateness_is_seen_in_seconds_whatever_unit_the_hints_are_in(hint: int | None) -> None:
-    """Found on a day of another customer, who sends no hints: all requests counted as 768 us of work, evidence was
-    held against a typical request of 10,000 until hundreds had been answered, and at a mean of 1.7 times their aims
-    the node read 0.36 and refused nothing, while every server's line was full."""
+    """Guards against lateness that goes unnoticed without hints: all requests counted as 768 us of work, but the
+    evidence was compared with a typical request of 10,000 us until hundreds had been answered; at a mean of 1.7 times
+    the aims the node read 0.36 and refused nothing while all queues were full."""
     assert late_answers(hint, 1.5).capacity.pressure > 0.85
     assert late_answers(hint, 0.4).capacity.pressure < 0.5
 
@@ -135,13 +135,13 @@
     f.run(4)
     assert f.b.capacity.pressure < 0.5
     f.run(2, dict.fromkeys(f.names(), Outcome.FULL))
-    assert f.b.capacity.pressure > 1.2  # no server is ill beside the others
+    assert f.b.capacity.pressure > 1.2  # no server is worse than the others
     f = Fleet(4)
     f.run(4)
     c, b = f.b.capacity, f.b
     before, request = c.late_num, next(iter(b.requests.values()))
     server = b.membership.backends[f.names()[0]]
-    server.last_ok = f.now - 10 * S  # nothing has come from it since long before the attempt
+    server.last_ok = f.now - 10 * S  # no answer since long before the attempt
     c.learn(server, request, Outcome.TIMEOUT, 2 * S, f.now)
     assert c.late_num == before + 2.0 * request.cost
 
@@ -153,18 +153,18 @@
     attempt = request.attempts[0]
     aim = 400 * MS
     for waited, late in ((CRITICAL - 0.02, 0.0), (CRITICAL + 0.02, CRITICAL + 0.02), (1.5, 1.5), (7.0, 2.0)):
-        num, den = c.waiting([request], attempt.sent_at + round(waited * aim))
+        num, den = c.pending_lateness([request], attempt.sent_at + round(waited * aim))
         assert (num, den) == pytest.approx((late * request.cost, request.cost if late else 0.0))
     before = c.late_num, c.late_den
-    c.waiting([request], attempt.sent_at + S)
-    assert (c.late_num, c.late_den) == before  # looked at anew each time, never added up
+    c.pending_lateness([request], attempt.sent_at + S)
+    assert (c.late_num, c.late_den) == before  # computed anew each time, not accumulated
     attempt.in_flight = False
-    assert c.waiting([request], attempt.sent_at + S) == (0.0, 0.0)
+    assert c.pending_lateness([request], attempt.sent_at + S) == (0.0, 0.0)
 
 
 def stalled(seconds: float) -> Balancer:
-    """A node that sees 40 requests a second, after two seconds of prompt answers and so many with hardly any: its
-    servers finish two a second, the longest waiting first."""
+    """A node that receives 40 requests per second: prompt answers for two seconds, then servers that complete only
+    two requests per second, the longest waiting first."""
     b = Balancer(settings(must_subscribe=False, tenants=[], cold_share=1.0, second_copies=False), 1)
     b.handle(0, [full(6)])
     waiting: list[tuple[str, int, str]] = []
@@ -182,27 +182,28 @@
 
 
 def test_a_line_is_evidence_before_those_in_it_are_answered() -> None:
-    """Found on another customer's days: 550 requests waited at servers that finished 47 a second, and nodes read 0.4
-    aims, as those that had been answered had come when the lines were short."""
+    """Guards against growing queues that go unnoticed: 550 requests waited at servers that completed 47 per second,
+    but nodes read 0.4 aims, because the requests answered so far had met short queues."""
     b = stalled(1.5)
     c = b.capacity
-    assert sum(len(r.attempts) for r in b.requests.values()) > 20  # some ten seconds of what is finished
-    assert c.late_num / c.late_den < CRITICAL  # those answered say that all is well
+    assert sum(len(r.attempts) for r in b.requests.values()) > 20  # about ten seconds of the servers' completions
+    assert c.late_num / c.late_den < CRITICAL  # the answered requests show no overload
     assert c.pressure > CRITICAL + 0.2 and c.acc < ACC_FLOOR
 
 
-@pytest.mark.parametrize("stands_still", [False, True])
-def test_a_node_that_has_stood_still_does_not_take_its_own_pause_for_waits(stands_still: bool) -> None:
-    """Found where ten upgrades in a row kept a machine busy: a tick came before the answers that lay there unread."""
+@pytest.mark.parametrize("paused", [False, True])
+def test_a_node_that_has_stood_still_does_not_take_its_own_pause_for_waits(paused: bool) -> None:
+    """Guards against a process pause taken for slow servers: on a busy machine a tick ran before the answers that
+    were already in the sockets had been read."""
     f = Fleet(4)
     f.run(4)
     b = f.b
     assert any(a.in_flight for r in b.requests.values() for a in r.attempts)
     before = b.capacity.pressure
-    for pause in ([1200 * MS] if stands_still else [200 * MS] * 6):
+    for pause in ([1200 * MS] if paused else [200 * MS] * 6):
         f.now += pause
         b.handle(f.now, [TimerFired(1)])
-    assert (b.capacity.pressure > before + 0.1) is not stands_still
+    assert (b.capacity.pressure > before + 0.1) is not paused
 
 
 def capacity_of(pool: list[Backend]) -> Capacity:
@@ -213,9 +214,9 @@
 
 
 def test_what_overdriven_servers_finish_says_nothing_of_what_cold_ones_may_be_given() -> None:
-    """Found there too: warm servers that had been drowned finished a third of what they could, and the cold ones,
-    whose budgets follow that, stood idle beside them."""
-    for lateness, falls in ((0.5 * OVERDRIVEN, True), (1.5 * OVERDRIVEN, False)):
+    """Guards against idle cold servers in overload: overloaded warm servers completed a third of their capacity, and
+    the budgets of cold servers, derived from that rate, fell with it."""
+    for lateness, falls in ((0.5 * OVERLOAD_LATENESS, True), (1.5 * OVERLOAD_LATENESS, False)):
         pool = [Backend(entry(i)) for i in range(6)]
         c = capacity_of(pool)
         steady = []
@@ -231,19 +232,20 @@
 
 
 def test_cold_servers_that_stand_well_do_not_hide_that_all_warm_ones_are_late() -> None:
-    """Found there too: beside seven cold servers, of good health and all but idle, what waited at five warm suspects
-    counted for nothing; nodes read 0.4 aims with eleven seconds of work in their lines, and admitted all."""
+    """Guards against lateness without weight: beside seven healthy, almost idle cold servers, the waits at five
+    unhealthy warm servers counted for nothing; nodes read 0.4 aims with eleven seconds of work queued, and admitted
+    everything."""
     pool = [Backend(entry(i)) for i in range(5)] + [Backend(entry(i, started=S)) for i in range(5, 12)]
     c = capacity_of(pool)
     for b in pool[:5]:
         b.health = 0.1
     c.tick(pool, 2 * S, INTERVAL_US)
     assert pool[5].warm < 1.0 == pool[0].warm
-    assert c.weight_of(pool[0]) > 0.9
+    assert c.evidence_weight(pool[0]) > 0.9
     for b in pool[:2]:
         b.health = 1.0
     c.tick(pool, 3 * S, INTERVAL_US)
-    assert c.weight_of(pool[4]) < 0.05  # two sound ones beside it: it is ill
+    assert c.evidence_weight(pool[4]) < 0.05  # beside two healthy warm servers it is unhealthy
 
 
 def test_what_servers_go_on_finishing_is_admitted_at_an_acc_of_nothing_the_most_worth_first() -> None:
@@ -251,10 +253,10 @@
     a = b.admission
     half = len(b.classes)
     pay, over = a.index["pay"], a.index["pay"] + half
-    for row in (a.lq, a.work):
+    for row in (a.arrivals, a.work):
         row[pay] = row[over] = 100.0
     a.tick(0.0, 0.5)
-    assert a.pa[pay] > 0.85 and a.pa[over] < 0.15  # half of all is admitted, hardly any of it beyond its share
+    assert a.pa[pay] > 0.85 and a.pa[over] < 0.15  # half of the work is admitted, hardly any of it beyond the share
     a.tick(0.0)
     assert a.pa[pay] == a.pa[over] == 0.0
 
@@ -263,14 +265,14 @@
     f = Fleet(4)
     f.run(4)
     c = f.b.capacity
-    c.acc, c.k = 0.0, 1.0  # all that is carried is far above what is believed
-    f.b.admission.tick(c.acc, min(1.0, DRAIN * c.served_rate / c.work_rate))
-    passed = [pa for pa, work in zip(f.b.admission.pa, f.b.admission.smooth_work, strict=True) if work > 0]
-    assert passed and max(passed) > 0.5
+    c.acc, c.k = 0.0, 1.0  # the load is far above the estimated capacity
+    f.b.admission.tick(c.acc, min(1.0, QUEUE_DRAIN_SHARE * c.served_rate / c.work_rate))
+    accepted = [pa for pa, work in zip(f.b.admission.pa, f.b.admission.smooth_work, strict=True) if work > 0]
+    assert accepted and max(accepted) > 0.5
 
 
-def copies(balancers: int, requests: int = 40) -> int:
-    """Second copies that a new node sends in a second and a half in which nothing is answered."""
+def hedged(balancers: int, requests: int = 40) -> int:
+    """Hedged attempts that a new node sends within 1.5 s in which nothing is answered."""
     b = Balancer(settings(balancers=balancers, must_subscribe=False, tenants=[], cold_share=1.0), 1)
     now = S
     b.handle(now, [full(9)])
@@ -286,34 +288,36 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 200])
 def test_new_nodes_guess_no_more_in_their_first_second_the_more_of_them_there_are(balancers: int) -> None:
-    """Found on another customer's days: each of 60 nodes had ten repeats saved from its start on and spent them as
-    second copies within a second, half of all attempts."""
-    found = copies(balancers)
-    assert 1 <= found <= COPIES[0] + COPIES_SHARED / balancers + 40 * COPY_SHARE
+    """Guards against a burst of hedged attempts at the start: each of 60 nodes began with ten tokens and spent them
+    within a second, half of all attempts."""
+    found = hedged(balancers)
+    assert 1 <= found <= HEDGE_TOKENS[0] + FLEET_HEDGE_TOKENS / balancers + 40 * HEDGE_SHARE
 
 
 def test_what_is_refused_earns_no_repeats() -> None:
-    """Found there too: of 926 arrivals a second 834 were refused, and all of them paid for repeats of the rest."""
+    """Guards against retries paid for by refusals: of 926 arrivals per second 834 were refused, and all of them
+    earned tokens."""
     f = Fleet()
     f.run(2)
-    f.b.retries = f.b.copies = 0.0
+    f.b.retries = f.b.hedge_tokens = 0.0
     f.b.admission.pa = [0.0] * len(f.b.admission.pa)
     refused = f.refused
     f.b.handle(f.now, [RequestArrived(f"x{i}", "look", f.now + 2 * S, 30_000) for i in range(100)])
     assert f.b.refused == refused + 100
-    assert f.b.retries == f.b.copies == 0.0
+    assert f.b.retries == f.b.hedge_tokens == 0.0
 
 
 def test_refused_callers_that_come_again_are_no_capacity() -> None:
-    """K followed what is asked, five times of what is carried, however late the answers were."""
+    """Guards against a K that follows the retries of refused clients: the offered load was five times the current
+    load, and K followed it however late the answers were."""
     c = Capacity(settings(balancers=10))
-    c.proven, c.sound, c.acc, c.k = 10 * S, 1.0, 0.0, 100_000.0
+    c.proven, c.effective_backends, c.acc, c.k = 10 * S, 1.0, 0.0, 100_000.0
     c.pressure = CRITICAL + 0.6
     for _ in range(50):
         c._learn_k(100_000.0, 500_000.0, INTERVAL_US)
-    assert c.k < 100_000.0  # less than is carried: ACC stays at nothing until lines are shorter
+    assert c.k < 100_000.0  # less than the current load: ACC stays at 0 until queues are shorter
     c.pressure = 0.2
     c._learn_k(100_000.0, 500_000.0, INTERVAL_US)
     for _ in range(50):
         c._learn_k(100_000.0, 500_000.0, INTERVAL_US)
-    assert c.k > 500_000.0  # and all that is asked once answers are prompt
+    assert c.k > 500_000.0  # the whole offered load, once answers are prompt
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""AC, Pa, the table of repeats, and one small test for each failure found."""
+"""AC, Pa, the rules for repeats, and regression tests of single failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from headspar import Balancer
 from headspar.decide import (
     ACC_FLOOR,
-    BREAK_EVEN,
+    BREAK_EVEN_WORTH,
     Admission,
     Attempt,
     Backend,
@@ -51,9 +51,9 @@
     c.send(b, 1280)
     c.send(b, 1280)
     c.send(b, 40960)
-    assert b.n == {1280: 2, 40960: 1} and b.out == 2 * 1280 + 40960
-    c.done(b, 40960)
-    assert b.out == 2 * 1280 and b.linger == 2 * 1280 + 40960
+    assert b.n == {1280: 2, 40960: 1} and b.outstanding == 2 * 1280 + 40960
+    c.complete(b, 40960)
+    assert b.outstanding == 2 * 1280 and b.decaying == 2 * 1280 + 40960
 
 
 def request(cls: RequestClass = LOOK, cost: int = 20480) -> Request:
@@ -67,7 +67,7 @@
     pool = [Backend(entry(i)) for i in range(5)]
     for i, b in enumerate(pool):
         b.nm = 1000.0 * (i + 1)
-    pool[4].out = 3500
+    pool[4].outstanding = 3500
     p.set_pool(pool)
     assert p.pick(request(), 0, False) is pool[3]
 
@@ -95,7 +95,7 @@
 
 
 def test_pa_acts_only_at_or_below_the_floor() -> None:
-    a = Admission(settings(over_share_worth=BREAK_EVEN), random.Random(1))
+    a = Admission(settings(over_share_worth=BREAK_EVEN_WORTH), random.Random(1))
     for j in (0, 2):
         a.accept(j, 10_000)
     a.tick(ACC_FLOOR + 0.01)
@@ -103,14 +103,15 @@
     for j in (0, 2, 4):
         a.accept(j, 10_000)
     a.tick(ACC_FLOOR / 2)
-    assert a.pa[2] > a.pa[0] > 0, "worth decides who is refused first"
-    assert a.pa[4] < a.pa[0], "traffic beyond a tenant's share goes first"
+    assert a.pa[2] > a.pa[0] > 0, "classes of less worth are refused first"
+    assert a.pa[4] < a.pa[0], "requests beyond a tenant's share are refused first"
 
 
 def test_what_is_worth_next_to_nothing_beyond_a_share_goes_before_the_floor() -> None:
-    """Found on another customer's days: one tenant brought almost three times its share, beyond which it was worth a
-    twentieth; at an ACC above the floor all of it passed, and servers that could carry the rest were drowned."""
-    def passed(acc: float, worth: float) -> list[float]:
+    """Guards against overload by requests beyond a tenant's share: a tenant sent almost three times its share, worth
+    a twentieth beyond it; with ACC above the floor all of it was accepted, and the servers could not carry the
+    rest."""
+    def accepted(acc: float, worth: float) -> list[float]:
         a = Admission(settings(over_share_worth=worth), random.Random(1))
         for j in range(8):
             a.accept(j, 10_000)
@@ -118,13 +119,13 @@
         return a.pa
 
     for worth in (0.0, 0.05, 0.1):
-        beyond = [passed(ACC_FLOOR + 0.01 * i, worth)[4] for i in range(1, 60)]
+        beyond = [accepted(ACC_FLOOR + 0.01 * i, worth)[4] for i in range(1, 60)]
         assert beyond == sorted(beyond) and beyond[-1] == 1.0
-        assert beyond[0] < 0.25 + 2 * worth and all(pa == 1.0 for pa in passed(ACC_FLOOR + 0.01, worth)[:4])
-        # What is within the shares has all the budget at the floor: what is beyond them has none of it yet.
-        below = passed(ACC_FLOOR, worth)
+        assert beyond[0] < 0.25 + 2 * worth and all(pa == 1.0 for pa in accepted(ACC_FLOOR + 0.01, worth)[:4])
+        # Requests within the shares get the whole budget at the floor; those beyond get nothing yet.
+        below = accepted(ACC_FLOOR, worth)
         assert below[:4] == pytest.approx([1.0] * 4) and below[4:] == pytest.approx([0.0] * 4)
-    assert passed(0.4, 0.0)[4] < passed(0.4, 0.1)[4] < passed(0.4, BREAK_EVEN)[4] == 1.0
+    assert accepted(0.4, 0.0)[4] < accepted(0.4, 0.1)[4] < accepted(0.4, BREAK_EVEN_WORTH)[4] == 1.0
 
 
 def tried(
@@ -163,7 +164,8 @@
 
 
 def test_speed_stays_positive_when_the_fit_moves_during_a_request() -> None:
-    """Found on the bench: a request sent under an older fit had a negative part beyond the floor."""
+    """Guards against a negative expected latency: a request sent before a refit had less than the part attributed to
+    dependencies."""
     c, b, r = Capacity(settings()), Backend(entry(0)), request()
     c.kinds[b.kind] = [0.0, 0.0]
     r.cls.base = 10.0 * r.expect
@@ -172,7 +174,7 @@
 
 
 def test_a_node_that_refused_all_forgets_old_lateness() -> None:
-    """Found on rough days: evidence kept for as long as nothing was sent, so refusals never ended."""
+    """Guards against endless refusals: lateness did not decay while nothing was sent."""
     c = Capacity(settings())
     c.late_num, c.late_den = 2e6, 1e6
     pool = [Backend(entry(0))]
@@ -184,7 +186,7 @@
 
 
 def test_repeats_of_the_turned_away_are_budgeted() -> None:
-    """Found on an overloaded day: every attempt turned away as full was repeated at once, a storm."""
+    """Guards against a retry storm: in overload, every attempt refused as full was retried at once."""
     b = Balancer(settings(tenants=[]), 1)
     b.handle(0, [full(4)])
     sends = accepted = now = 0
@@ -193,23 +195,24 @@
         queue = b.handle(now, [RequestArrived(f"r{n}", "look", now + 2_000_000, 20_000)])
         accepted += any(isinstance(a, Send) for a in queue)
         while queue:
-            out = [a for a in queue if isinstance(a, Send)]
-            sends += len(out)
+            sent = [a for a in queue if isinstance(a, Send)]
+            sends += len(sent)
             queue = []
-            for a in out:
+            for a in sent:
                 attempt = len(b.requests[a.id].attempts) - 1
                 queue += b.handle(now, [AttemptEnded(a.id, attempt, a.backend, Outcome.FULL, 100, False)])
     assert accepted < sends <= accepted + 300 * 0.2 + 11
 
 
 def test_newcomer_joins_at_the_others_level() -> None:
-    """An empty counter would draw every node's next requests at once."""
+    """Guards against a thundering herd: with no decaying load, a new backend would get the next requests of all
+    nodes."""
     b = Balancer(settings(tenants=[]), 1)
     b.handle(0, [full(4)])
     for n in range(200):
         b.handle(n * 5000, [RequestArrived(f"r{n}", "look", n * 5000 + 2_000_000, 20_000)])
     b.handle(996_000, [BackendList(ListKind.DELTA, 2, [entry(7)])])
-    assert b.membership.backends["10.0.0.7:80"].linger >= 0.5 * b.capacity.mean_load
+    assert b.membership.backends["10.0.0.7:80"].decaying >= 0.5 * b.capacity.mean_load
 
 
 def test_discovery_is_asked_at_the_start_where_it_has_to_be() -> None:
@@ -251,17 +254,17 @@
     one, two = Balancer(s, 1), Balancer(s, 2)
     for b in (one, two):
         b.handle(0, [full(4)])
-    told: list[bytes] = []
+    messages: list[bytes] = []
     for n in range(30):
         now = n * 100_000
         for a in one.handle(now, [RequestArrived(f"r{n}", "crew", now + 2_500_000, 40_000)]):
             if isinstance(a, TellPeers):
-                told.append(a.data)
-    two.handle(0, [PeerMessage(0, told[-1])])
-    heard = {i: b.peers for i, b in two.membership.backends.items()}
-    assert sum(heard.values()) > 0 and two.capacity.weight > 0
-    two.handle(1, [PeerMessage(0, told[-1])])
-    assert {i: b.peers for i, b in two.membership.backends.items()} == heard
+                messages.append(a.data)
+    two.handle(0, [PeerMessage(0, messages[-1])])
+    received = {i: b.peers for i, b in two.membership.backends.items()}
+    assert sum(received.values()) > 0 and two.capacity.peer_weight > 0
+    two.handle(1, [PeerMessage(0, messages[-1])])
+    assert {i: b.peers for i, b in two.membership.backends.items()} == received
     two.handle(10_000_000, [])
     assert not any(b.peers for b in two.membership.backends.values())
 
@@ -273,27 +276,27 @@
 
 
 def test_cold_budget_is_not_saved_up() -> None:
-    """Found on a rule day: budgets saved by all nodes came due together and a cold backend fell over."""
+    """Guards against accrued budgets: all nodes spent theirs together and a cold backend failed."""
     s = settings(balancers=20)
     sent = 0
     for node in range(20):
         c = Capacity(s)
-        c.steady = 50_000.0  # this node's part of a million us of work a second at a warm backend
+        c.steady = 50_000.0  # this node's part of 1,000,000 us of work per second at a warm backend
         p = Picker(s, c, random.Random(node))
         b = Backend(entry(0, started=1))
         p.set_pool([b])
-        p.gate(b, 20_480, 2)
-        for k in range(50):  # long idle, then a rush at all nodes
-            sent += 20_480 * p.gate(b, 20_480, 9_000_000 + k * 1000)
+        p.admit_cold(b, 20_480, 2)
+        for k in range(50):  # idle for long, then a burst at all nodes
+            sent += 20_480 * p.admit_cold(b, 20_480, 9_000_000 + k * 1000)
     warm = s.warm_share(b.started_at, 9_000_000)
     assert 0 < sent < s.fall_multiple * warm * 1_000_000 * s.fall_us / 1e6
-    assert not p.gate(b, 2_000_000, 20_000_000), "too heavy for a cold backend"
+    assert not p.admit_cold(b, 2_000_000, 20_000_000), "too heavy for a cold backend"
 
 
 def test_a_key_goes_home_only_while_its_home_has_capacity() -> None:
     s = settings(warm_keys=True)
     pools = []
-    for seed in (1, 2):  # two nodes agree without a word
+    for seed in (1, 2):  # two nodes choose the same backend without communication
         p = Picker(s, Capacity(s), random.Random(seed))
         pool = [Backend(entry(i)) for i in range(6)]
         for b in pool:
@@ -304,16 +307,18 @@
     r.key = "account-7"
     chosen = [p.pick(r, 0, False) for p in pools]
     assert chosen[0] is not None and chosen[1] is not None and chosen[0].id == chosen[1].id
-    for b in pools[0].homes("account-7"):
-        b.out = 1600  # past HOME_MARGIN of Nm_i
+    for b in pools[0].preferred("account-7"):
+        b.outstanding = 1600  # beyond PREFERRED_MARGIN of Nm_i
     other = pools[0].pick(r, 0, False)
-    assert other is not None and other not in pools[0].homes("account-7")
+    assert other is not None and other not in pools[0].preferred("account-7")
 
 
 def test_a_cold_backend_does_its_part_when_capacity_is_short_and_for_a_node_that_has_just_started() -> None:
-    """Sent to a backend at half its warmth, over 200 s and 40 ms apart, in us of work a second."""
+    """Guards against idle cold backends while capacity is short, and against a new node that sends them too little
+    because its steady rate is still rising."""
 
     def sent(steady: float, served_rate: float, acc: float) -> float:
+        """Work sent to a backend at half its warmth, us per second, by requests 40 ms apart over 200 s."""
         s = settings(ramp_us=20_000_000, cold_share=0.2)
         c = Capacity(s)
         c.capacity_sum, c.steady, c.served_rate, c.acc, c.typical_work = 10.0, steady, served_rate, acc, 2000.0
@@ -322,13 +327,13 @@
         p.set_pool([b])
         now, work = 7_500_000, 0
         for _ in range(5000):
-            b.drawn_at, b.started_at = now - 40_000, now - 7_500_000
-            work += 2000 * p.gate(b, 2000, now)
+            b.budget_at, b.started_at = now - 40_000, now - 7_500_000
+            work += 2000 * p.admit_cold(b, 2000, now)
             now += 40_000
         return work / 200
 
-    half = 0.5 * 80_000  # of its part, in what a warm one gets
+    half = 0.5 * 80_000  # half of what a warm backend gets
     assert abs(sent(80_000, 0.0, 1.0) - 0.5 * half) < 0.1 * half
     assert abs(sent(80_000, 0.0, 0.0) - half) < 0.1 * half
-    assert abs(sent(80_000, 0.0, 0.55) - half) < 0.1 * half, "an ordinary day's load: none goes to waste"
+    assert abs(sent(80_000, 0.0, 0.55) - half) < 0.1 * half, "at an ordinary load its whole budget is used"
     assert abs(sent(1_000, 800_000, 0.0) - half) < 0.1 * half
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -1,4 +1,5 @@
-"""More servers than descriptors: what the module is told, and real nodes before such a fleet."""
+"""Subsetting for fleets with more servers than a node has descriptors: the module's view, and real nodes before such
+a fleet."""
 
 from __future__ import annotations
 
@@ -46,9 +47,9 @@
     assert len(inside) == 10 and len(event.entries) == 60 and abs(event.reach - 1 / 6) < 0.01
     b = Balancer(settings(balancers=6), 1)
     b.handle(S, [event])
-    assert b.capacity.senders == 1.0  # of six nodes one sends to each
-    asked: list[Event] = [RequestArrived(f"r{i}", "look", 3 * S, 1000) for i in range(200)]
-    sends = {a.backend for a in b.handle(S + 1, asked) if isinstance(a, Send)}
+    assert b.capacity.senders == 1.0  # one of six nodes sends to each backend
+    arrivals: list[Event] = [RequestArrived(f"r{i}", "look", 3 * S, 1000) for i in range(200)]
+    sends = {a.backend for a in b.handle(S + 1, arrivals) if isinstance(a, Send)}
     assert sends == inside
 
 
@@ -127,7 +128,7 @@
         used[sent.node][sent.server] += 1
     assert len(used) == 4
     for servers in used.values():
-        # 25 connections to servers: a dozen servers at a time, and one more for each step of the windows' turn
+        # 25 connections to servers: about a dozen servers at a time, plus one per step of the rotating subset
         assert 10 <= len(servers) <= 12 + 8
     assert len(set().union(*used.values())) >= 44
 
@@ -138,16 +139,16 @@
     assert not r.draining
     out = [entry(i, Health.DRAINING) for i in (0, 1, 2)]
     r.told(BackendList(ListKind.DELTA, 2, out), 2 * S)
-    r.told(BackendList(ListKind.DELTA, 3, out[:1]), 3 * S)  # told again, and known for longer
+    r.told(BackendList(ListKind.DELTA, 3, out[:1]), 3 * S)  # reported again; the first time stays
     assert r.draining == {e.backend: 2 * S for e in out}
     r.told(BackendList(ListKind.DELTA, 4, [entry(0), entry(1, Health.GONE)]), 4 * S)
     assert r.draining == {out[2].backend: 2 * S}
-    r.told(full(2, ListKind.FULL), 5 * S)  # what a whole list does not name is gone
+    r.told(full(2, ListKind.FULL), 5 * S)  # a backend that a full list omits is gone
     assert not r.draining
 
 
 def test_an_attempt_at_a_server_that_has_long_been_told_to_drain_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module sends none there: what counts it is beside it, and hears of a version that does."""
+    """The module sends none there; the node's own count detects a version of the module that does."""
     clock = [S]
     monkeypatch.setattr(core, "now_us", lambda: clock[0])
     loop = SimpleNamespace(call_soon=lambda *_: None, call_later=lambda *_: SimpleNamespace(cancel=lambda: None))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Legal event sequences against an independent checker of rules 1 to 3, and rule 4's budget."""
+"""Checks rules 1 to 3 on legal event sequences with an independent checker, and the budget of rule 4."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class World:
-    """Plays events legally and checks each action by the rules' own words."""
+    """Plays legal event sequences and checks each action against the rules."""
 
     def __init__(self, s: Settings, seed: int) -> None:
         self.s, self.rng = s, random.Random(seed)
@@ -48,10 +48,11 @@
         self.now = 1_000_000
         self.cls = {c.name: c for c in s.classes}
         self.open: dict[str, RequestArrived] = {}
-        self.tries: dict[str, list[list[object]]] = {}  # [backend, sent at, outcome or None]
+        # request -> [backend, sent at, outcome or None] of each attempt
+        self.tries: dict[str, list[list[object]]] = {}
         self.due: list[tuple[int, int, Event]] = []
         self.serial = 0
-        self.left: dict[str, int] = {}
+        self.not_ready_since: dict[str, int] = {}
         self.entries = {e.backend: e for e in full(6).entries}
         self.answers = self.sends = 0
 
@@ -66,13 +67,13 @@
                 for x in e.entries:
                     self.entries[x.backend] = x
                     if x.health is Health.READY:
-                        self.left.pop(x.backend, None)
+                        self.not_ready_since.pop(x.backend, None)
                     else:
-                        self.left.setdefault(x.backend, self.now)
+                        self.not_ready_since.setdefault(x.backend, self.now)
                 if e.kind in (ListKind.FULL, ListKind.CACHED):
                     for b in self.entries:
                         if b not in listed:
-                            self.left.setdefault(b, self.now)
+                            self.not_ready_since.setdefault(b, self.now)
             elif isinstance(e, AttemptEnded):
                 self.tries[e.id][e.attempt][2] = e.outcome
                 if e.final and e.id in self.open:
@@ -89,7 +90,7 @@
             elif isinstance(action, Send):
                 self.check_send(action)
             elif isinstance(action, (Refuse, Fail)):
-                assert action.id in self.open, "an answer for a request that is over"
+                assert action.id in self.open, "answer for a request that has ended"
                 if isinstance(action, Refuse):
                     self.check_refuse(action.id)
                 del self.open[action.id]
@@ -104,9 +105,9 @@
             assert self.now <= r.deadline_us + self.s.answer_slack_us, "rule 1: no answer in time"
 
     def check_send(self, action: Send) -> None:
-        assert action.id in self.open, "a send for a request that is over"
+        assert action.id in self.open, "send for a request that has ended"
         b = self.entries[action.backend]
-        assert self.now <= self.left.get(action.backend, self.now) + self.s.drain_grace_us, "rule 3"
+        assert self.now <= self.not_ready_since.get(action.backend, self.now) + self.s.drain_grace_us, "rule 3"
         cls = self.cls[self.open[action.id].cls]
         tries = self.tries[action.id]
         assert len(tries) < self.s.max_attempts
@@ -137,7 +138,7 @@
         assert not any(t[2] is None or t[2] in RAN for t in self.tries[id]), "rule 2: refusal"
 
     def play(self, arrivals: list[tuple[int, int, int]], ms: int) -> None:
-        """Arrivals are (ms, class number, deadline ms)."""
+        """Arrivals are (time in ms, class number, deadline in ms)."""
         for n, (when, c, limit) in enumerate(arrivals):
             cls = self.s.classes[c % len(self.s.classes)]
             at = 1_000_000 + when * 1000
@@ -160,7 +161,7 @@
                 if isinstance(e, AttemptEnded) and e.final and e.id in self.open:
                     self.step(batch)
                     batch = []
-            for id, r in list(self.open.items()):  # attempts are cut at the client's deadline
+            for id, r in list(self.open.items()):  # attempts time out at the client's deadline
                 if self.now >= r.deadline_us:
                     for i, t in enumerate(self.tries[id]):
                         if t[2] is None and not any(
@@ -206,7 +207,7 @@
 
 
 def test_cold_backend_gets_less_than_an_even_load() -> None:
-    """Rule 4: with no memory of its own and with one, the work sent to a cold backend stays in its budget."""
+    """Rule 4: the work sent to a cold backend stays within its budget."""
     for seed in range(5):
         s = settings(classes=settings().classes[:1], tenants=[], balancers=1, max_attempts=1)
         b = Balancer(s, seed)
@@ -214,7 +215,7 @@
         b.handle(now, [full(4)])
         sent: list[tuple[int, int]] = []
         waiting: list[tuple[int, AttemptEnded]] = []
-        for tick in range(2400):  # 12 s at 400 requests a second of 20 ms on four backends
+        for tick in range(2400):  # 12 s at 400 requests per second of 20 ms each, on four backends
             now += 5_000
             events: list[Event] = [e for at, e in waiting if at <= now]
             waiting = [w for w in waiting if w[0] > now]
@@ -231,7 +232,7 @@
                         sent.append((now, cost_class(20_000)))
                     waiting.append((now + 40_000, AttemptEnded(a.id, 0, a.backend, Outcome.OK, 40_000, True)))
         assert sent, "a cold backend must get some work"
-        even = 400 * cost_class(20_000) / 4 / 1e6  # what a warm peer carries, us a us
+        even = 400 * cost_class(20_000) / 4 / 1e6  # what each of the four backends would carry, us of work per us
         for start, _ in sent:
             work = sum(c for t, c in sent if start <= t < start + s.fall_us)
             assert work <= s.fall_multiple * s.cold_share * even * s.fall_us
@@ -252,7 +253,7 @@
 
 def test_a_node_with_nothing_outstanding_still_says_so() -> None:
     balancer = Balancer(settings(may_tell_peers=True), 1)
-    told = [a for a in balancer.handle(1_000, [full(4)]) if isinstance(a, TellPeers)]
-    assert [len(a.data) for a in told] == [1]
-    balancer.handle(2_000, [PeerMessage(1, told[0].data)])
+    messages = [a for a in balancer.handle(1_000, [full(4)]) if isinstance(a, TellPeers)]
+    assert [len(a.data) for a in messages] == [1]
+    balancer.handle(2_000, [PeerMessage(1, messages[0].data)])
     assert all(b.peers == 0 for b in balancer.membership.backends.values())
