--- a/headspar/decide.py
+++ b/headspar/decide.py
@@ -315,10 +315,10 @@
         self.settings = settings
         self.k = 0.0
         self.linger_us = 1_000_000.0  # T
-        self.rate = 0.0
+        self.rate = 0.0  # sends per second
         self.work_rate = 0.0  # us of work per second offered to this node
         self.served_rate = 0.0  # us of work per second that was completed
-        self.steady = 0.0
+        self.steady = 0.0  # us of work per second that a warm backend completes for this node
         self.peer_weight = 0.0  # weight of peers' outstanding work in AC(i)
         self.senders = float(settings.balancers)  # number of nodes that send to one backend
         self.sent_rate = 0.0  # us of work per second that this node has sent recently
@@ -327,12 +327,12 @@
         self.served_work = 0
         self.answers = 0
         self.late_num = self.late_den = 0.0
-        self.pressure = 0.0
+        self.pressure = 0.0  # mean lateness in aims
         self.proven = 0  # us with observations of latency
         self.typical_work = 10_000.0  # work of a typical request, us
         self.typical_own = 50_000.0  # expected latency of a typical request without the waits on dependencies, us
-        self.mean_load = 0.0
-        self.kinds: dict[str, list[float]] = {}
+        self.mean_load = 0.0  # us of work per backend, decaying load and peers' work included
+        self.kinds: dict[str, list[float]] = {}  # sums of observed and expected latency by kind of machine
         self.acc = 1.0
         self.effective_backends = self.carried = 0.0  # as in ``Belief``
         self.capacity_sum = 1.0  # sum of warm_i
@@ -369,14 +369,15 @@
             b.last_ok = now
             self.served_work += r.cost
             b.probe_pause = PROBE_PAUSE_US[0]
-            own = max(0.2 * r.expect, r.expect - DEPENDENCY_WAIT_SHARE * r.cls.base)
-            over = max(0.1 * own, latency - (r.expect - own))
-            b.seen += over
-            b.expected += own
+            # Both latencies without the waits on dependencies.
+            expected = max(0.2 * r.expect, r.expect - DEPENDENCY_WAIT_SHARE * r.cls.base)
+            observed = max(0.1 * expected, latency - (r.expect - expected))
+            b.seen += observed
+            b.expected += expected
             kind = self.kinds[b.kind]
-            kind[0] += over
-            kind[1] += own
-            self.typical_own += 0.02 * (own - self.typical_own)
+            kind[0] += observed
+            kind[1] += expected
+            self.typical_own += 0.02 * (expected - self.typical_own)
             self.answers += 1
             self.typical_work += max(0.02, 1.0 / self.answers) * (r.cost - self.typical_work)
             r.cls.learn(r.cost, latency)
@@ -556,6 +557,7 @@
         self.count = settings.balancers - 1 if settings.may_tell_peers else 0
         self.capacity, self.rng = capacity, rng
         self.by_tag: dict[int, Backend] = {}
+        # by peer: time of its last report, and the work that it reported for each backend
         self.heard: dict[int, tuple[int, list[tuple[Backend, int]]]] = {}
         self.message_at = self.out_message_at = 0
         self.version = 0  # version of discovery's list
@@ -994,13 +996,13 @@
         self.costliest = cost_class(1000)
         self.retries, self.hedge_tokens = RETRY_TOKENS[0], HEDGE_TOKENS[0] + FLEET_HEDGE_TOKENS / settings.balancers
         self.reach = 1.0  # the share of the backends to which this node may send
-        self.checks: list[tuple[int, int, Request]] = []
+        self.checks: list[tuple[int, int, Request]] = []  # heap of (due at, serial number, request)
         self.serial = 0
         self.tick_at: int | None = None
         self.ticked_at = 0
         self.timer_at: int | None = None
         self.log_at = 0
-        self.reasons: dict[str, int] = {}
+        self.reasons: dict[str, int] = {}  # counts for the log line
         self.actions: list[Action] = []
         self.firsts = self.repeats = self.refused = self.failed = self.served = self.attempts = 0
         self.handlers = {
--- a/headspar/interface.py
+++ b/headspar/interface.py
@@ -329,7 +329,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: rejected without having run; the client may safely retry."""
+    """Final answer: refused; the client may safely retry."""
 
     id: str
     retry_after_us: int = 0
