--- a/headspar/decide.py
+++ b/headspar/decide.py
@@ -173,10 +173,10 @@
         self.outstanding = 0  # sum_j n(i,j)/W(j), us of work; exact, as the mid-points are integers
         self.peers = 0  # outstanding work of other nodes, as last reported, us
         self.n: dict[int, int] = {}  # n(i,j) by the class's 1/W(j)
-        self.update(entry)
+        self.apply_entry(entry)
         self.reset()
 
-    def update(self, entry: BackendEntry) -> None:
+    def apply_entry(self, entry: BackendEntry) -> None:
         """Take over the fields of a new entry of discovery's list."""
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.drained = entry.health is not Health.READY
@@ -962,7 +962,7 @@
                 continue
             restarted = entry.started_at_us > b.started_at
             started = max(b.started_at, entry.started_at_us)
-            b.update(entry)
+            b.apply_entry(entry)
             b.started_at = started
             if restarted:
                 b.reset()
