--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -164,8 +164,8 @@
 
 
 def test_speed_stays_positive_when_the_fit_moves_during_a_request() -> None:
-    """Guards against a negative expected latency: a request sent before a refit had less than the part attributed to
-    dependencies."""
+    """Guards against a negative expected latency: a refit during a request attributed more time to dependencies than
+    the older fit had expected in total."""
     c, b, r = Capacity(settings()), Backend(entry(0)), request()
     c.kinds[b.kind] = [0.0, 0.0]
     r.cls.base = 10.0 * r.expect
