--- a/headspar/connections/__init__.py
+++ b/headspar/connections/__init__.py
@@ -1,8 +1,10 @@
-"""Connections to cash servers: how many are held and being made, which is used next, when each is retired.
+"""The connection pool to cash servers: pool size, choice of the connection for an attempt, and retirement.
 
-``plan``      every decision, without I/O or clock: it is told what happens and asked what to do
-``idle_time`` what is learned of how long a server keeps an idle connection
+``plan``      all pool decisions, without I/O or a clock: the host reports events and asks what to do
+``idle_time`` estimates how long a server keeps an idle connection open
+``subset``    selects the servers that a node connects to when there are too many for its descriptors
+``waiters``   the queue of attempts that wait for a connection to one server
 
-The sockets are the host's.  Which server a request goes to is the decision module's; the plan says whether and
-how it can be reached now, and what it refuses has never run.
+The host owns the sockets.  The decision module chooses the server for a request; the plan says whether and how that
+server can be reached now.  An attempt that the plan refuses was never sent.
 """
--- a/headspar/connections/idle_time.py
+++ b/headspar/connections/idle_time.py
@@ -1,53 +1,55 @@
-"""How long servers keep an idle connection, learned from how reuse ends; without I/O.
-
-The time is told nowhere, or as an upper bound, and a server may drop connections without a word.  What is seen:
-after so long idle a connection was used again and answered, or it broke (or was closed by the server as it stood
-idle).  Both are counted in buckets of idle time that double in width, and fade.  Connections are retired at the
-lower edge of the first bucket in which more than ``TOO_MANY`` of the ends were breaks.
-
-Breaks alone would not do: connections also break for other reasons, at any idle time, and those must not turn
-over connections in steady use; they are few beside the answers of the same bucket.  As counts fade, longer idle
-times are tried again, so a bound that was learned drifts up by itself.  Servers of one deployment mostly share
-their settings: what is seen of all counts for each as a part of its own evidence.
+"""Learns the idle timeout of servers from the results of connection reuse; without I/O.
+
+Servers do not announce their idle timeout, or only an upper bound, and may drop idle connections silently.  The
+node observes that a connection that was idle for some time was reused and answered, or that it broke on reuse or was
+closed by the server while idle.  Both results are counted in buckets of idle time that double in width, and the
+counts decay exponentially.  Connections are retired at the lower edge of the first bucket in which more than
+``MAX_BREAK_SHARE`` of the results are breaks.
+
+Breaks have to be weighed against answers: connections also break for other reasons, at any idle time, and these
+breaks must not cause steadily used connections to be replaced; they are few compared with the answers in the same
+bucket.  As counts decay, longer idle times are tried again, so a learned limit rises again by itself.  Servers of one
+deployment mostly share their settings, so the observations of all servers count for each with a reduced weight.
 """
 
 from __future__ import annotations
 
 from math import exp
 
-FIRST_US = 25_000  # upper edge of the first bucket; what broke there did not break of its idleness
-TOO_MANY = 0.3  # of a bucket's ends: a lost attempt costs more than a new connection
-ENOUGH = 2.0  # breaks that are evidence at all
-MEMORY_US = 30_000_000
-SHARED = 0.3  # weight of what was seen of other servers
-FORGOTTEN = 0.05  # breaks, faded, that are none any more
-MARGIN = 0.8  # of the time that was told
-TRUSTED = 12.0  # answers after so long idle, of all servers, that vouch for a connection
-TRUSTED_BREAKS = 0.02  # of the ends in a bucket that vouches
+FIRST_BUCKET_US = 25_000  # upper edge of the first bucket, whose breaks do not come from idleness
+MAX_BREAK_SHARE = 0.3  # of the results in a bucket; a lost attempt costs more than a new connection
+MIN_BREAKS = 2.0  # decayed count; fewer breaks are no evidence
+DECAY_US = 30_000_000  # time constant of the counts
+POOL_WEIGHT = 0.3  # weight of the observations of all servers
+NEGLIGIBLE_BREAKS = 0.05  # decayed count below which a server's own observations are dropped
+IDLE_MARGIN = 0.8  # share of the announced idle timeout at which connections are retired
+MIN_TRUST_ANSWERS = 12.0  # answers of all servers in a bucket for its idle time to be trusted
+MAX_TRUST_BREAK_SHARE = 0.02  # of the results in a trusted bucket
 
 
 def bucket(idle_us: int) -> int:
-    """0 beneath ``FIRST_US``, then one more for each doubling."""
-    return max(0, idle_us // FIRST_US).bit_length()
+    """The bucket index of an idle time: 0 below ``FIRST_BUCKET_US``, then one more for each doubling."""
+    return max(0, idle_us // FIRST_BUCKET_US).bit_length()
 
 
 class Evidence:
-    """Breaks and answers by bucket of idle time, fading."""
+    """Exponentially decaying counts of breaks (``broke``) and answers (``good``) by bucket of idle time."""
 
-    __slots__ = ("broke", "good", "at")
+    __slots__ = ("broke", "good", "faded_at")
 
     def __init__(self, buckets: int, now: int) -> None:
-        self.broke, self.good, self.at = [0.0] * buckets, [0.0] * buckets, now
+        self.broke, self.good, self.faded_at = [0.0] * buckets, [0.0] * buckets, now
 
     def widen(self, buckets: int) -> None:
-        """At least so many buckets; what was seen stays."""
+        """Extends to at least ``buckets`` buckets and keeps the counts."""
         for row in (self.broke, self.good):
             row.extend([0.0] * (buckets - len(row)))
 
     def fade(self, now: int) -> None:
-        if now - self.at >= 1_000_000:
-            keep = exp((self.at - now) / MEMORY_US)
-            self.at = now
+        """Applies the decay up to ``now`` (us), at most once a second."""
+        if now - self.faded_at >= 1_000_000:
+            keep = exp((self.faded_at - now) / DECAY_US)
+            self.faded_at = now
             for row in (self.broke, self.good):
                 for k, value in enumerate(row):
                     if value:
@@ -55,41 +57,47 @@
 
 
 class IdleTime:
-    """One server's idle time; ``pool`` is what was seen of all servers, ``told_us`` the longest it can be.
-    ``limit_us``: at which connections are retired; ``trusted_us``: up to which what was seen vouches for one.
+    """The idle timeout of one server, in us.
 
-    What was seen of the server itself is only kept from its first break on: until then it has nothing to tell
-    that the pool has not, and every request would pay for it.
+    ``pool`` holds the observations of all servers and ``max_idle_us`` the announced upper bound.  Connections are
+    retired after ``limit_us`` idle; up to ``trusted_us`` idle, past answers are sufficient proof that a connection is
+    alive.
+
+    The server's own observations are kept only from its first break on: until then they add nothing to the pool, and
+    keeping them costs time on every request.
     """
 
-    __slots__ = ("told_us", "least_us", "own", "pool", "limit_us", "trusted_us")
+    __slots__ = ("max_idle_us", "min_trusted_us", "own", "pool", "limit_us", "trusted_us")
 
-    def __init__(self, told_us: int, pool: Evidence, now: int, least_us: int = 0) -> None:
-        """``least_us``: for so long a connection vouches for itself."""
-        self.told_us, self.pool, self.least_us = told_us, pool, least_us
+    def __init__(self, max_idle_us: int, pool: Evidence, now: int, min_trusted_us: int = 0) -> None:
+        """``min_trusted_us``: up to this idle time a connection needs no other proof that it is alive."""
+        self.max_idle_us, self.pool, self.min_trusted_us = max_idle_us, pool, min_trusted_us
         self.own: Evidence | None = None
-        self._judge()
+        self._update_limits()
 
-    def tell(self, told_us: int) -> None:
-        """The longest that it can be has changed; the pool has been widened."""
-        self.told_us = told_us
+    def set_max_idle(self, max_idle_us: int) -> None:
+        """Sets a new upper bound; the caller has already widened the pool."""
+        self.max_idle_us = max_idle_us
         if self.own is not None:
             self.own.widen(len(self.pool.broke))
-        self._judge()
+        self._update_limits()
 
     def ended(self, idle_us: int) -> None:
-        """A connection was closed by the server, or broke as it was used again, after so long idle."""
+        """Counts a connection that the server closed, or that broke on reuse, after ``idle_us`` idle."""
         k = min(len(self.pool.broke) - 1, bucket(idle_us))
         if self.own is None:
-            self.own = Evidence(len(self.pool.broke), self.pool.at)
+            self.own = Evidence(len(self.pool.broke), self.pool.faded_at)
         self.own.broke[k] += 1.0
         self.pool.broke[k] += 1.0
-        self._judge()
+        self._update_limits()
 
     def answered(self, idle_us: int) -> None:
-        """One was used again after so long idle, and answered.  On every request's path: it only counts."""
+        """Counts a connection that was reused after ``idle_us`` idle and answered.
+
+        It runs on every request's path, so it only counts.
+        """
         good = self.pool.good
-        k = (idle_us // FIRST_US).bit_length()
+        k = (idle_us // FIRST_BUCKET_US).bit_length()
         if k >= len(good):
             k = len(good) - 1
         good[k] += 1.0
@@ -97,37 +105,37 @@
             self.own.good[k] += 1.0
 
     def refresh(self, now: int) -> None:
-        """Let what was seen fade; the host asks for it now and then."""
+        """Applies the decay and recomputes the limits; called periodically."""
         self.pool.fade(now)
         if self.own is not None:
             self.own.fade(now)
-            if sum(self.own.broke) < FORGOTTEN:
+            if sum(self.own.broke) < NEGLIGIBLE_BREAKS:
                 self.own = None
-        self._judge()
+        self._update_limits()
 
-    def _judge(self) -> None:
-        self.limit_us = self._limit()
-        self.trusted_us = min(self.limit_us, self._trusted())
+    def _update_limits(self) -> None:
+        self.limit_us = self._compute_limit()
+        self.trusted_us = min(self.limit_us, self._compute_trusted())
 
-    def _trusted(self) -> int:
-        """A node that meets each server seldom has hardly ever a connection that was proven of late.  What has been
-        used again after as long idle, by requests that may be repeated, and been answered, vouches as well."""
-        own, pool, trusted = self.own, self.pool, self.least_us
-        for k in range(bucket(self.least_us), len(pool.good)):
+    def _compute_trusted(self) -> int:
+        """A node that rarely sends to a server seldom has a recently proven connection to it.  Answers to repeatable
+        requests, sent after the same idle time, therefore count as proof too."""
+        own, pool, trusted = self.own, self.pool, self.min_trusted_us
+        for k in range(bucket(self.min_trusted_us), len(pool.good)):
             good, broke = pool.good[k], pool.broke[k] + (own.broke[k] if own is not None else 0.0)
-            if broke >= 1.0 and broke > TRUSTED_BREAKS * (good + broke):
+            if broke >= 1.0 and broke > MAX_TRUST_BREAK_SHARE * (good + broke):
                 break
-            if good >= TRUSTED:  # what was kept for longer is kept for so long, and for less
-                trusted = max(trusted, FIRST_US << (k - 1))
+            if good >= MIN_TRUST_ANSWERS:  # a longer idle time implies the shorter ones
+                trusted = max(trusted, FIRST_BUCKET_US << (k - 1))
         return trusted
 
-    def _limit(self) -> int:
+    def _compute_limit(self) -> int:
         own, pool = self.own, self.pool
-        if any(pool.broke):  # every break of a server's is in the pool's too
+        if any(pool.broke):  # the pool includes each server's own breaks
             for k in range(1, len(pool.broke)):
-                broke, good = SHARED * pool.broke[k], SHARED * pool.good[k]
+                broke, good = POOL_WEIGHT * pool.broke[k], POOL_WEIGHT * pool.good[k]
                 if own is not None:
                     broke, good = broke + own.broke[k], good + own.good[k]
-                if broke >= ENOUGH and broke > TOO_MANY * (broke + good):
-                    return min(int(MARGIN * self.told_us), FIRST_US << (k - 1))
-        return int(MARGIN * self.told_us)
+                if broke >= MIN_BREAKS and broke > MAX_BREAK_SHARE * (broke + good):
+                    return min(int(IDLE_MARGIN * self.max_idle_us), FIRST_BUCKET_US << (k - 1))
+        return int(IDLE_MARGIN * self.max_idle_us)
--- a/headspar/connections/subset.py
+++ b/headspar/connections/subset.py
@@ -1,27 +1,28 @@
-"""Which servers a node keeps connections to when there are more servers than its descriptors carry; without I/O.
+"""Deterministic subsetting: the servers that a node keeps connections to in a large fleet; without I/O.
 
-A node that sends to all of a thousand servers with a third as many descriptors closes a connection and opens
-another for each request.  It is given a part of them instead, its *reach*; the decision module picks among those.
+A node that sends to all of a thousand servers with a third as many descriptors closes a connection and opens another
+for each request.  It therefore uses a subset of the servers, and the decision module picks among those.
 
-*Met often.*  Where many nodes share many servers, a node's requests are spread so thin that it meets each server
-less than once a second: hardly a connection has been proven of late, what it learns of a server is of long ago, and
-a cold server's part is less than a request.  From ``overlap`` nodes for each server on, a node keeps to ``reach``
-servers, few enough to meet each often and enough to lose many of them.
+*Request density.*  Where many nodes share many servers, a node sends to each server less than once a second: hardly
+any connection is recently proven, the learned state of a server is stale, and a cold server's share is less than one
+request.  Where a subset of ``reach`` servers leaves at least ``overlap`` nodes for each server, a node uses ``reach``
+servers: few enough to send to each often, and enough to survive the loss of many.
 
-*Even.*  The servers of each zone stand in one order, by hashes of their cells and ids, the same at every node.
-Node i of n takes the servers from rank i*N/n on, as many as its part of the zone's N: each rank is then covered
-by the same number of nodes, give or take one (the ring of Twitter's deterministic aperture; rendezvous hashing
-per node would leave some servers with a third of what others get).  Nodes that follow one another in number, and
-are restarted one after another, stand far apart on the ring.
+*Balance.*  The servers of each zone form a ring, ordered by hashes of their cells and ids and identical at every
+node.  Node i of n takes a window that begins at rank i*N/n of the N servers of the zone and has the size of its share
+of them.  Each rank is then covered by the same number of nodes, give or take one (the ring of Twitter's deterministic
+aperture; rendezvous hashing per node would leave some servers with a third of the nodes of others).  Nodes with
+consecutive numbers, which are restarted one after another, are far apart on the ring.
 
-*Slow.*  One server more or less moves a node's window by a rank at most.  What is gone is made up for at once;
-beyond that one server is exchanged each ``swap_us``, in an order of the node's own: nodes whose windows overlap would
-all turn to the same new server first.
+*Stability.*  Adding or removing one server shifts a node's window by at most one rank.  Removed servers are replaced
+at once; other differences are exchanged one server per ``swap_us``, in an order that differs by node, because nodes
+with overlapping windows would otherwise all turn to the same new server first.
 
-*Nobody starved.*  Where all nodes together reach fewer servers than there are, the windows turn, a rank each
-``turn_us``, and every server has its time.
+*Rotation.*  Where all nodes together cover fewer servers than there are, the windows rotate by one rank per
+``turn_us``, so that every server is used for some of the time.
 
-*Cells.*  The members of a cell stand together, so that a repeat that has to stay in its cell finds another one.
+*Cells.*  The servers of a cell are adjacent on the ring, so that a retry that must stay in its cell finds another
+server there.
 """
 
 from __future__ import annotations
@@ -31,15 +32,22 @@
 from hashlib import blake2b
 from math import gcd
 
-AT_ONCE = 4  # exchanges at one look
-GOLDEN = 0.618  # of the ring, between two nodes that follow one another
+MAX_SWAPS = 4  # maximum number of exchanges in one tick
+GOLDEN = 0.618  # fraction of the ring between nodes with consecutive numbers
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """``most``: connections in all; ``node`` of ``nodes``, from 0; ``per_server``: connections that a server in
-    reach should be able to have; ``room``: the share of ``most`` that one connection to every server may take
-    before a part is chosen."""
+    """Settings of a ``Subset``.
+
+    ``most`` is the maximum number of connections in total; ``node`` is the index of this node among ``nodes``, from
+    0.  ``per_server`` is the number of connections that each server of the subset should be able to have.  All
+    servers are used as long as one connection to each takes at most the share ``room`` of ``most``.  ``reach`` is the
+    subset size in a large fleet (0: all servers) and ``overlap`` the minimum number of nodes for each server then.
+    One server is exchanged per ``swap_us``; windows rotate by one rank per ``turn_us``.
+
+    Raises ``ValueError`` that names the field for a value out of range.
+    """
 
     most: int
     node: int = 0
@@ -63,13 +71,13 @@
             raise ValueError("reach: must not be negative; overlap: must be above 0")
 
     def kept(self, servers: int) -> int:
-        """How many of so many servers a node should keep to for the fleet's size; all, if that is no matter."""
+        """The subset size that the fleet's size calls for, out of ``servers``; all where the fleet is small."""
         return self.reach if 0 < self.overlap * servers <= self.reach * self.nodes else servers
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A server that may be sent to."""
+    """A server that requests may be sent to."""
 
     id: str
     zone: str = ""
@@ -78,7 +86,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """Servers that have come into reach, and that have left it."""
+    """The ids of servers that have entered and left the subset."""
 
     entered: list[str]
     left: list[str]
@@ -91,8 +99,9 @@
     return blake2b(text.encode(), digest_size=8).digest()
 
 
-def ring_place(node: int, nodes: int) -> int:
-    """Where a node stands among ``nodes`` places: a stride prime to their number, near the golden section."""
+def ring_position(node: int, nodes: int) -> int:
+    """The position of a node among ``nodes`` on the ring: multiples of a stride coprime to their number, near the
+    golden section."""
     stride = max(1, round(GOLDEN * nodes))
     while gcd(stride, nodes) != 1:
         stride += 1
@@ -100,7 +109,7 @@
 
 
 def shares(sizes: dict[str, int], total: int) -> dict[str, int]:
-    """``total`` split over zones by their sizes, by largest remainders; at least one of each zone."""
+    """Splits ``total`` over zones in proportion to their sizes by the largest remainder method; at least one each."""
     servers = sum(sizes.values())
     exact = {zone: total * size / servers for zone, size in sizes.items()}
     out = {zone: min(sizes[zone], max(1, int(part))) for zone, part in exact.items()}
@@ -111,32 +120,32 @@
 
 
 class Subset:
-    """The reach of one node."""
+    """The subset of servers of one node."""
 
     def __init__(self, settings: SubsetSettings) -> None:
         self.change(settings)
-        self.zones: dict[str, list[str]] = {}  # the servers of each in the order that all nodes share
+        self.zones: dict[str, list[str]] = {}  # the ring of each zone: server ids in the order shared by all nodes
         self.members: dict[str, Member] = {}
         self.keys: dict[str, tuple[bytes, bytes]] = {}
         self.held: set[str] = set()
-        self.size = 0  # how many are to be in reach
-        self.whole = True  # all are
-        self.begun_at = 0
+        self.size = 0  # target number of servers in the subset
+        self.whole = True  # the subset holds all servers
+        self.started_at = 0
         self.swapped_at = 0
-        self.entering: list[str] = []  # still to be exchanged, one each ``swap_us``
-        self.leaving: list[str] = []
+        self.entering: list[str] = []  # still to be added; one exchange per ``swap_us``
+        self.leaving: list[str] = []  # still to be removed
 
     def change(self, settings: SubsetSettings) -> None:
-        """Another place among the nodes, or other limits: the next ``update`` or ``tick`` goes by them."""
+        """Sets another position among the nodes, or other limits, for the next ``update`` or ``tick``."""
         self.settings = settings
-        self.place = ring_place(settings.node, settings.nodes)
+        self.ring_position = ring_position(settings.node, settings.nodes)
 
     def update(self, members: Iterable[Member], now: int) -> Change:
-        """The list of servers has changed; what this does to the reach at once."""
+        """Applies a new list of servers; returns the immediate change of the subset.  ``now`` in us."""
         self.members = {m.id: m for m in members}
         self.keys = {id: self.keys.get(id) or _key(m) for id, m in self.members.items()}
         before = set(self.held)
-        self.begun_at = self.begun_at or now
+        self.started_at = self.started_at or now
         settings = self.settings
         count = len(self.members)
         self.whole = count <= min(settings.room * settings.most, settings.kept(count))
@@ -145,9 +154,9 @@
             self.entering, self.leaving, self.zones = [], [], {}
             self.size = len(self.held)
             return _change(before, self.held)
-        self._order()
+        self._build_rings()
         wanted = self.wanted(now)
-        if len(self.held) > self.size:  # all were in reach until now
+        if len(self.held) > self.size:  # all servers were in the subset until now
             self.held = wanted
         self.held &= self.members.keys()
         for id in sorted(wanted - self.held, key=self.keys.__getitem__):
@@ -156,18 +165,18 @@
             self.held.add(id)
         if not self.entering:
             self.swapped_at = now
-        self._compare(wanted)
+        self._plan_swaps(wanted)
         return _change(before, self.held)
 
     def tick(self, now: int) -> Change:
-        """Exchange the servers that are due; after a long pause no more than one look's worth, ``AT_ONCE``."""
+        """Makes the exchanges that are due; at most ``MAX_SWAPS`` of them, however long the last tick is ago."""
         settings = self.settings
-        due = min(AT_ONCE, (now - self.swapped_at) // settings.swap_us)
+        due = min(MAX_SWAPS, (now - self.swapped_at) // settings.swap_us)
         if self.whole or due < 1:
             return Change([], [])
         self.swapped_at = now
-        if self._turning():
-            self._compare(self.wanted(now))
+        if self._rotating():
+            self._plan_swaps(self.wanted(now))
         entered = [self.entering.pop() for _ in range(min(due, len(self.entering)))]
         surplus = min(due, len(self.leaving), len(self.held) + len(entered) - self.size)
         left = [self.leaving.pop() for _ in range(surplus)]
@@ -176,27 +185,27 @@
         return Change(entered, left)
 
     def cover(self) -> float:
-        """The share of the servers that is in reach; of all nodes, the share that reaches a server."""
+        """The share of the servers in the subset, which is also the share of nodes that use a given server."""
         return len(self.held) / len(self.members) if self.members else 1.0
 
     # ------------------------------------------------------------
 
     def wanted(self, now: int) -> set[str]:
-        """The servers of this node's window on each zone's ring."""
+        """The servers in this node's window on the ring of each zone."""
         settings = self.settings
-        turned = (now - self.begun_at) // settings.turn_us if self._turning() else 0
+        rotation = (now - self.started_at) // settings.turn_us if self._rotating() else 0
         sizes = {zone: len(ids) for zone, ids in self.zones.items()}
         out: set[str] = set()
         for zone, count in shares(sizes, self.size).items():
             ids = self.zones[zone]
-            first = self.place * len(ids) // settings.nodes + turned
+            first = self.ring_position * len(ids) // settings.nodes + rotation
             out.update(ids[(first + i) % len(ids)] for i in range(count))
         return out
 
-    def _turning(self) -> bool:
+    def _rotating(self) -> bool:
         return self.size * self.settings.nodes < len(self.members)
 
-    def _order(self) -> None:
+    def _build_rings(self) -> None:
         self.zones = {}
         for id in sorted(self.members, key=self.keys.__getitem__):
             self.zones.setdefault(self.members[id].zone, []).append(id)
@@ -204,12 +213,12 @@
         want = count if count <= settings.room * settings.most else settings.most // settings.per_server
         self.size = min(count, max(1, len(self.zones), min(want, settings.kept(count))))
 
-    def _compare(self, wanted: set[str]) -> None:
-        def own(id: str) -> bytes:
+    def _plan_swaps(self, wanted: set[str]) -> None:
+        def node_order(id: str) -> bytes:
             return _hash(f"{self.settings.node}/{id}")
 
-        self.entering = sorted(wanted - self.held, key=own)
-        self.leaving = sorted(self.held - wanted, key=own)
+        self.entering = sorted(wanted - self.held, key=node_order)
+        self.leaving = sorted(self.held - wanted, key=node_order)
 
 
 def _key(m: Member) -> tuple[bytes, bytes]:
--- a/headspar/connections/waiters.py
+++ b/headspar/connections/waiters.py
@@ -1,4 +1,4 @@
-"""The attempts that wait for a connection to one server, the one that has waited longest first; without I/O."""
+"""The FIFO queue of attempts that wait for a connection to one server; without I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Waiter(Protocol):
-    """An attempt, as far as waiting goes."""
+    """The fields of an attempt that the queue uses; ``sent_at`` in us."""
 
     ended: bool
     sent_at: int
@@ -20,39 +20,43 @@
 
 
 class Waiters(Generic[W]):
-    """``fit(attempt)``: whether one may still be sent now.  ``moot(attempt)`` ends one that will get no connection:
-    it never ran, and may go elsewhere.  ``making``: connections that are being made, the attempts' and spares."""
+    """The waiting attempts of one server.
 
-    __slots__ = ("server", "plan", "fit", "moot", "line", "making")
+    ``may_send(attempt)`` tells whether an attempt may still be sent.  ``abandon(attempt)`` ends one that gets no
+    connection: it was never sent and may go elsewhere.  ``making`` counts the connections that are being opened, for
+    attempts and as spares.
+    """
+
+    __slots__ = ("server", "plan", "may_send", "abandon", "line", "making")
 
     def __init__(
-        self, server: str, plan: Plan, fit: Callable[[W], bool], moot: Callable[[W], None]
+        self, server: str, plan: Plan, may_send: Callable[[W], bool], abandon: Callable[[W], None]
     ) -> None:
-        self.server, self.plan, self.fit, self.moot = server, plan, fit, moot
+        self.server, self.plan, self.may_send, self.abandon = server, plan, may_send, abandon
         self.line: deque[W] = deque()
         self.making = 0
 
     def next(self) -> W | None:
-        """The one that is to have a connection now, taken out of the line."""
+        """Removes and returns the next attempt to get a connection; None if there is none."""
         while self.line:
             attempt = self.line.popleft()
             self.plan.waits_no_more(self.server)
             if attempt.ended:
                 continue
-            if self.fit(attempt):
+            if self.may_send(attempt):
                 return attempt
-            self.moot(attempt)
+            self.abandon(attempt)
         return None
 
     def wait_no_longer(self, now: int, connect_us: int) -> None:
-        """None waits once no connection is being made, nor for longer than one may take and a half again."""
+        """Abandons attempts when no connection is being opened, or after 1.5 times the connect timeout."""
         while self.line and (not self.making or now - self.line[0].sent_at > 3 * connect_us // 2):
             attempt = self.next()
             if attempt is not None:
-                self.moot(attempt)
+                self.abandon(attempt)
 
     def leave(self) -> list[W]:
-        """Empty the line, of a server that is gone: the plan has forgotten it with all that waited."""
+        """Empties the queue after the server was removed; the plan has already dropped its waiting count."""
         out = list(self.line)
         self.line.clear()
         return out
--- a/tests/connections/test_hard_cases.py
+++ b/tests/connections/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Connections that never come up, servers that turn them away or are replaced meanwhile, before a real node."""
+"""A real node with connections that are never established, and servers that reject them or are replaced meanwhile."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 from tests.loopback import Answer, Backend, Client, Discovery, Node, answer, deaf, reset, row, running, wait_for
 
-CALM_S = 8.0  # what takes longer was not told, but hung on to its deadline, 10 s
+ANSWERED_S = 8.0  # an attempt that takes longer was not ended in time, but hung until its deadline of 10 s
 WAITERS = 20
 
 
 @contextlib.contextmanager
-def before(rows: list[dict[str, Any]], backends: list[Backend], **limits: Any) -> Iterator[Node]:
+def running_node(rows: list[dict[str, Any]], backends: list[Backend], **limits: Any) -> Iterator[Node]:
     node = Node(backends, Discovery(rows), known=rows, **limits)
     try:
         yield node
@@ -26,8 +26,8 @@
         node.close()
 
 
-class Asked:
-    """Requests that go out together, each on its own connection."""
+class Batch:
+    """Requests sent concurrently, each on its own connection."""
 
     def __init__(self, node: Node, cls: str, count: int) -> None:
         self.answers: list[tuple[Answer, float]] = []
@@ -52,32 +52,32 @@
 
 def test_attempts_that_wait_for_a_connection_that_never_comes_up_are_told_in_time_to_go_elsewhere() -> None:
     good = Backend(None, "s-2")
-    with deaf() as hole, before([row("s-1", hole), good.row()], [good]) as node:
-        for _ in range(3):  # the unsafe class: what may have run would not be sent anywhere else
-            answers = Asked(node, "crew", WAITERS).wait()
+    with deaf() as black_hole, running_node([row("s-1", black_hole), good.row()], [good]) as node:
+        for _ in range(3):  # a non-repeatable class: an attempt that may have run is not sent elsewhere
+            answers = Batch(node, "crew", WAITERS).wait()
             assert all(got.status in (200, 503) for got, _ in answers)
             assert sum(got.status == 200 for got, _ in answers) >= WAITERS // 2
-            assert max(took for _, took in answers) < CALM_S
+            assert max(took for _, took in answers) < ANSWERED_S
         assert len({r[1]["x-call-id"] for r in good.requests}) == len(good.requests)
 
 
 def test_with_no_other_server_each_that_waited_is_refused_and_none_hangs_on() -> None:
-    with deaf() as hole, before([row("s-1", hole)], []) as node:
-        answers = Asked(node, "crew", WAITERS).wait()
+    with deaf() as black_hole, running_node([row("s-1", black_hole)], []) as node:
+        answers = Batch(node, "crew", WAITERS).wait()
         assert {got.status for got, _ in answers} == {503}
-        assert max(took for _, took in answers) < CALM_S
+        assert max(took for _, took in answers) < ANSWERED_S
 
 
 def test_the_same_id_at_a_new_address_serves_those_who_waited_for_the_old_one() -> None:
     good = Backend(None, "s-1")
-    with deaf() as hole, before([row("s-1", hole)], [good], connect_timeout_us=9_000_000) as node:
-        asked = Asked(node, "crew", 5)
-        time.sleep(0.3)  # they are on their way to the old address, which would take nine seconds to fail
+    with deaf() as black_hole, running_node([row("s-1", black_hole)], [good], connect_timeout_us=9_000_000) as node:
+        batch = Batch(node, "crew", 5)
+        time.sleep(0.3)  # they wait for the old address, where a connect fails only after nine seconds
         wait_for(lambda: node.discovery.calls)
         node.discovery.tell([good.row()])
-        answers = asked.wait()
+        answers = batch.wait()
         assert {got.status for got, _ in answers} == {200}
-        assert max(took for _, took in answers) < CALM_S
+        assert max(took for _, took in answers) < ANSWERED_S
         assert len(good.requests) == 5
 
 
@@ -98,13 +98,14 @@
 
 def test_at_sigterm_what_waits_for_connections_is_still_answered() -> None:
     good = Backend(None, "s-2")
-    with deaf() as hole, before([row("s-1", hole), good.row()], [good], connect_timeout_us=800_000) as node:
-        asked = Asked(node, "crew", WAITERS)
+    with (deaf() as black_hole,
+          running_node([row("s-1", black_hole), good.row()], [good], connect_timeout_us=800_000) as node):
+        batch = Batch(node, "crew", WAITERS)
         time.sleep(0.2)
         code: list[int] = []
         ending = threading.Thread(target=lambda: code.append(node.stop()))
         ending.start()
-        answers = asked.wait()
+        answers = batch.wait()
         ending.join(15)
         assert {got.status for got, _ in answers} <= {200, 503}
         assert sum(got.status == 200 for got, _ in answers) >= WAITERS // 2
@@ -112,14 +113,14 @@
 
 
 class Narrow(Backend):
-    """Takes in so many connections, and resets what comes beyond them."""
+    """Accepts ``most`` connections and resets further ones."""
 
     most = 3
-    turned_away = 0
+    rejected = 0
 
     def talk(self, conn: socket.socket) -> None:
         if sum(sock.fileno() >= 0 for sock in self.open) > self.most:
-            self.turned_away += 1
+            self.rejected += 1
             reset(conn)
             return
         try:
@@ -135,14 +136,14 @@
 
 def test_a_server_that_accepts_fewer_connections_than_are_wanted_is_found_out() -> None:
     narrow, wide = Narrow(slow, "s-1"), Backend(slow, "s-2")
-    with before([narrow.row(), wide.row()], [narrow, wide]) as node:
+    with running_node([narrow.row(), wide.row()], [narrow, wide]) as node:
         served = 0
         for _ in range(20):
-            answers = Asked(node, "look", 16).wait()
+            answers = Batch(node, "look", 16).wait()
             served += sum(got.status == 200 for got, _ in answers)
         assert served >= 0.97 * 320
-        assert narrow.requests  # it goes on serving within its limit
-        assert narrow.turned_away < 60  # not one for each burst's attempt beyond it
+        assert narrow.requests  # it still serves within its limit
+        assert narrow.rejected < 60  # not every attempt of each burst beyond the limit
 
 
 @pytest.mark.parametrize("cls", ["pay", "crew"])
--- a/tests/connections/test_plan.py
+++ b/tests/connections/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of connections, without sockets."""
+"""Tests of the connection plan and the learned idle timeout, without sockets."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from headspar.connections.idle_time import FIRST_US, MARGIN, Evidence, IdleTime, bucket
-from headspar.connections.plan import LOOK_US, Answer, Plan, PlanSettings
+from headspar.connections.idle_time import FIRST_BUCKET_US, IDLE_MARGIN, Evidence, IdleTime, bucket
+from headspar.connections.plan import REVIEW_INTERVAL_US, Answer, Plan, PlanSettings
 
 MS, S = 1_000, 1_000_000
 
@@ -24,17 +24,17 @@
 
 
 def busy(p: Plan, server: str, now: int, proof: bool = False) -> int:
-    """An attempt's connection, made if need be."""
-    told = p.take(server, now, proof=proof)
-    assert told.answer in (Answer.USE, Answer.OPEN)
-    if told.answer is Answer.OPEN:
+    """Takes a connection for an attempt, opening one if none is idle; returns its number."""
+    result = p.take(server, now, proof=proof)
+    assert result.answer in (Answer.USE, Answer.OPEN)
+    if result.answer is Answer.OPEN:
         p.waits_no_more(server)
-        assert p.opened(told.connection, now, taken=True)
-    return told.connection
+        assert p.opened(result.connection, now, taken=True)
+    return result.connection
 
 
 def idle(p: Plan, server: str, count: int, now: int) -> list[int]:
-    """So many idle connections, the last proven last."""
+    """Makes ``count`` idle connections; the last one is the most recently proven."""
     held = [busy(p, server, now) for _ in range(count)]
     for i, number in enumerate(held):
         assert p.answered(number, now + i, keep=True)
@@ -52,18 +52,18 @@
     p = plan()
     one, = idle(p, "a", 1, 0)
     assert p.take("a", 2 * S, proof=True).answer is Answer.OPEN
-    assert p.take("a", 2 * S, proof=False) .connection == one
+    assert p.take("a", 2 * S, proof=False).connection == one
     p.answered(one, 2 * S, keep=True)
     assert p.take("a", 2 * S + 999 * MS, proof=True).connection == one
 
 
 def test_answers_after_as_long_idle_vouch_for_a_connection_that_was_proven_long_ago() -> None:
-    """Found on the days of large fleets: each pair of node and server met less than once in the time of a proof, and
-    seven of ten payments opened a connection while lookups went over those that stood idle."""
+    """In a large fleet each node sends to each server less than once per ``proof_us``.  Seven of ten payments then
+    opened a connection while lookups reused the idle ones."""
     p = plan()
     a, b = idle(p, "a", 1, 0)[0], idle(p, "b", 1, 0)[0]
     now = 0
-    for _ in range(40):  # lookups, each 4 s after the last on the same connection
+    for _ in range(40):  # lookups, each 4 s after the previous one on the same connection
         now += 4 * S
         assert p.take("b", now, proof=False).connection == b
         p.answered(b, now, keep=True)
@@ -72,16 +72,16 @@
         p.tick(now)
     assert p.take("a", now + 2 * S, proof=True).connection == a, "idle for 3 s"
     p.answered(a, now + 2 * S, keep=True)
-    assert p.take("a", now + 6 * S, proof=True).answer is Answer.OPEN, "4 s are no more than what was seen"
+    assert p.take("a", now + 6 * S, proof=True).answer is Answer.OPEN, "longer than any idle time that was answered"
 
 
 def test_nothing_vouches_beyond_an_idle_time_at_which_connections_break() -> None:
-    told = Evidence(bucket(10 * S) + 1, 0)
-    time = IdleTime(10 * S, told, 0, 900 * MS)
+    pool = Evidence(bucket(10 * S) + 1, 0)
+    time = IdleTime(10 * S, pool, 0, 900 * MS)
     for _ in range(200):
         for idle_us in (1 * S, 2 * S, 4 * S):
             time.answered(idle_us)
-    for _ in range(8):  # few enough to be kept, too many to send a payment on
+    for _ in range(8):  # few enough to keep the connection, too many to send a payment on it
         time.ended(2 * S)
     assert time.limit_us > 4 * S
     assert 900 * MS <= time.trusted_us < 2 * S
@@ -90,8 +90,8 @@
 def test_a_connection_due_to_be_retired_is_never_handed_out() -> None:
     p = plan()
     held = idle(p, "a", 2, 0)
-    told = p.take("a", 9 * S, proof=False)  # 8 s are 0.8 of what the server is said to keep them
-    assert told.answer is Answer.OPEN and sorted(told.close) == held
+    result = p.take("a", 9 * S, proof=False)  # the limit is 8 s, 0.8 of the announced 10 s
+    assert result.answer is Answer.OPEN and sorted(result.close) == held
     assert not p.idle
 
 
@@ -110,14 +110,14 @@
     p = plan()
     held = idle(p, "a", 5, 0)
     for i, number in enumerate(held[:3]):
-        p.ended(number, S + i * 300 * MS, by_server=True)  # it closed three, each after a second
+        p.ended(number, S + i * 300 * MS, by_server=True)  # it closed three, each after about a second
     assert sorted(p.tick(S + 600 * MS)[0]) == held[3:]
     one, = idle(p, "a", 1, 2 * S)
     assert p.take("a", 2 * S + 700 * MS, proof=False).connection == one
     assert p.servers["a"].idle_time.limit_us == 800 * MS
-    assert p.servers["b"].idle_time.limit_us == int(MARGIN * 10 * S)  # three elsewhere are too few
+    assert p.servers["b"].idle_time.limit_us == int(IDLE_MARGIN * 10 * S)  # breaks of another server are too few
     p.tick(40 * S)
-    assert p.servers["a"].idle_time.limit_us == int(MARGIN * 10 * S)  # tried again
+    assert p.servers["a"].idle_time.limit_us == int(IDLE_MARGIN * 10 * S)  # decayed: longer ones are tried again
 
 
 def test_a_server_that_dies_tells_nothing_of_idle_times() -> None:
@@ -125,7 +125,7 @@
     for number in idle(p, "a", 20, 0):
         p.ended(number, S, by_server=True)
     p.tick(S)
-    assert {s.idle_time.limit_us for s in p.servers.values()} == {int(MARGIN * 10 * S)}
+    assert {s.idle_time.limit_us for s in p.servers.values()} == {int(IDLE_MARGIN * 10 * S)}
 
 
 def idle_time() -> IdleTime:
@@ -138,7 +138,7 @@
         t.answered(150 * MS)
         if i % 10 == 0:
             t.ended(150 * MS)
-    assert t.limit_us == int(MARGIN * 10 * S)
+    assert t.limit_us == int(IDLE_MARGIN * 10 * S)
     for _ in range(40):
         t.ended(150 * MS)
     assert t.limit_us == 100 * MS
@@ -148,7 +148,7 @@
     t = idle_time()
     for _ in range(50):
         t.ended(20 * MS)
-    assert t.limit_us == int(MARGIN * 10 * S)
+    assert t.limit_us == int(IDLE_MARGIN * 10 * S)
 
 
 def test_a_server_is_judged_by_the_others_too_once_there_are_many() -> None:
@@ -163,25 +163,25 @@
 @pytest.mark.parametrize("idle_us", [0, 24_999, 25_000, 49_999, 50_000, 10 * S, 10_000 * S])
 def test_buckets_double_and_end(idle_us: int) -> None:
     k = bucket(idle_us)
-    assert (k == 0 or FIRST_US << (k - 1) <= idle_us) and idle_us < FIRST_US << k
+    assert (k == 0 or FIRST_BUCKET_US << (k - 1) <= idle_us) and idle_us < FIRST_BUCKET_US << k
     t = idle_time()
-    t.ended(idle_us)  # beyond what was told, it counts in the last
+    t.ended(idle_us)  # beyond the announced timeout it counts in the last bucket
 
 
 def full(p: Plan, server: str, now: int, limit: int) -> Answer:
-    """An attempt's connection to a server that accepts only so many."""
-    told = p.take(server, now, proof=False)
-    if told.answer is Answer.OPEN:
+    """Takes a connection to a server that accepts at most ``limit`` of them."""
+    result = p.take(server, now, proof=False)
+    if result.answer is Answer.OPEN:
         p.waits_no_more(server)
         if p.servers[server].busy < limit:
-            p.opened(told.connection, now, taken=True)
+            p.opened(result.connection, now, taken=True)
         else:
-            p.failed(told.connection, now)
-    return told.answer
+            p.failed(result.connection, now)
+    return result.answer
 
 
 def keep_answering(p: Plan, server: str, now: int) -> None:
-    """Every connection in use is answered, and used again."""
+    """Answers every connection in use and takes it again."""
     for c in [c for c in p.connections.values() if c.state == "busy" and c.server.id == server]:
         p.answered(c.number, now, keep=True)
         p.take(server, now, proof=False)
@@ -192,19 +192,19 @@
     for _ in range(3):
         assert full(p, "a", 0, 3) is Answer.OPEN
     keep_answering(p, "a", MS)
-    assert [full(p, "a", 2 * MS, 3) for _ in range(3)] == [Answer.OPEN] * 3  # one failure, or two, tell nothing
+    assert [full(p, "a", 2 * MS, 3) for _ in range(3)] == [Answer.OPEN] * 3  # one or two failures prove nothing
     assert p.servers["a"].limit == 3 and p.servers["a"].held == 3
-    assert full(p, "a", 4 * MS, 3) is Answer.CANNOT  # at once: it may go elsewhere
+    assert full(p, "a", 4 * MS, 3) is Answer.CANNOT  # at once, so that the attempt may go elsewhere
     assert full(p, "b", 4 * MS, 3) is Answer.OPEN
     tried = 0
     for at in range(10 * MS, 10 * S, 10 * MS):
         keep_answering(p, "a", at)
         tried += full(p, "a", at, 3) is Answer.OPEN
-    assert 3 <= tried <= 5  # after 0.5 s, 1, 2, 4
+    assert 3 <= tried <= 5  # the backoff is 0.5 s, 1 s, 2 s, 4 s
     for at in range(10 * S, 20 * S, 10 * MS):
         keep_answering(p, "a", at)
         full(p, "a", at, 12)
-    assert p.servers["a"].held == 12 and p.servers["a"].limit == 12  # it accepts more by now: found soon
+    assert p.servers["a"].held == 12 and p.servers["a"].limit == 12  # it accepts more now
 
 
 def test_a_limit_that_nobody_meets_is_forgotten() -> None:
@@ -222,13 +222,13 @@
     rng = random.Random(5)
     for i in range(400):
         keep_answering(p, "a", i * MS)
-        told = p.take("a", i * MS, proof=False)
-        assert told.answer is Answer.OPEN
+        result = p.take("a", i * MS, proof=False)
+        assert result.answer is Answer.OPEN
         p.waits_no_more("a")
         if rng.random() < 0.1 and i % 3:
-            p.failed(told.connection, i * MS)
+            p.failed(result.connection, i * MS)
         else:
-            p.opened(told.connection, i * MS, taken=True)
+            p.opened(result.connection, i * MS, taken=True)
 
 
 def test_new_ones_that_are_taken_in_and_broken_count_too() -> None:
@@ -243,15 +243,15 @@
 def test_a_failed_connect_to_a_server_that_is_silent_sets_no_limit() -> None:
     p = plan()
     busy(p, "a", 0)
-    told = p.take("a", 10 * S, proof=False)
-    p.failed(told.connection, 10 * S)
+    result = p.take("a", 10 * S, proof=False)
+    p.failed(result.connection, 10 * S)
     assert p.servers["a"].limit == 0
 
 
 def test_a_connect_that_never_comes_up_holds_a_bounded_number_and_each_is_told() -> None:
     p = plan(making=2, waiting=5)
-    told = [p.take("a", 0, proof=False).answer for _ in range(20)]
-    assert told == [Answer.OPEN] * 2 + [Answer.WAIT] * 5 + [Answer.CANNOT] * 13
+    answers = [p.take("a", 0, proof=False).answer for _ in range(20)]
+    assert answers == [Answer.OPEN] * 2 + [Answer.WAIT] * 5 + [Answer.CANNOT] * 13
     for _ in range(7):
         p.waits_no_more("a")
     for number in list(p.connections):
@@ -263,35 +263,35 @@
     p = plan(most=5)
     a = idle(p, "a", 4, 0)
     only, = idle(p, "b", 1, -S)
-    told = p.take("c", 10, proof=False)
-    assert told.answer is Answer.OPEN and told.close == (a[0],)  # b's is idle longer, and its only one
+    result = p.take("c", 10, proof=False)
+    assert result.answer is Answer.OPEN and result.close == (a[0],)  # b's connection is idle longer, but its only one
     assert only in p.connections and len(p.connections) == 5
     p.waits_no_more("c")
-    p.opened(told.connection, 10, taken=True)
+    p.opened(result.connection, 10, taken=True)
     for number in a[1:]:
         p.ended(number, 11)
     idle(p, "a", 1, 12)
-    assert p.take("c", 13, proof=False).answer is Answer.OPEN  # room again
+    assert p.take("c", 13, proof=False).answer is Answer.OPEN  # descriptors are free again
 
 
 def test_when_descriptors_run_short_a_server_above_its_ceiling_gives_before_one_at_it() -> None:
     p = plan(most=5, idle_us=1000 * S)
-    for at in range(0, 20 * S, 10 * MS):  # b is used two at a time, steadily
+    for at in range(0, 20 * S, 10 * MS):  # steady demand of two connections to b
         pair = [busy(p, "b", at), busy(p, "b", at)]
         for number in pair:
             p.answered(number, at + 9 * MS, keep=True)
         p.tick(at + 9 * MS)
-    assert p.servers["b"].want() == 2
-    a = idle(p, "a", 3, 21 * S)  # idle for a shorter time, and more than a has shown a use for
-    told = p.take("c", 22 * S, proof=False)
-    assert told.answer is Answer.OPEN and told.close == (a[0],)
+    assert p.servers["b"].ceiling() == 2
+    a = idle(p, "a", 3, 21 * S)  # idle for a shorter time, but beyond a's ceiling
+    result = p.take("c", 22 * S, proof=False)
+    assert result.answer is Answer.OPEN and result.close == (a[0],)
 
 
 def test_a_server_with_none_may_take_anothers_only_one() -> None:
     p = plan(most=2)
     held = [*idle(p, "a", 1, 0), *idle(p, "b", 1, 5)]
-    told = p.take("c", 10, proof=False)
-    assert told.answer is Answer.OPEN and told.close == (held[0],)
+    result = p.take("c", 10, proof=False)
+    assert result.answer is Answer.OPEN and result.close == (held[0],)
     p = plan(most=2)
     idle(p, "a", 1, 0)
     busy(p, "b", 5)
@@ -324,8 +324,8 @@
 def test_a_cold_server_gets_fewer_new_connections_at_once() -> None:
     p = plan(making=8, waiting=0)
     p.warmth("a", 0.25)
-    told = [p.take("a", at * 10 * MS, proof=False).answer for at in range(9)]
-    assert told.count(Answer.OPEN) == 2
+    answers = [p.take("a", at * 10 * MS, proof=False).answer for at in range(9)]
+    assert answers.count(Answer.OPEN) == 2
 
 
 def test_a_cold_server_gets_new_connections_at_this_nodes_part_of_the_pace() -> None:
@@ -334,7 +334,7 @@
         p.warmth("a", share)
         return sum(p.take("a", at * MS, proof=False).answer is Answer.OPEN for at in range(1000))
 
-    assert 9 <= made(0.2) <= 11  # 500 a second, a fifth of it, a tenth for each node
+    assert 9 <= made(0.2) <= 11  # 500 per second, times 0.2 for the cold server, divided by 10 nodes
     assert 18 <= made(0.4) <= 21
     assert made(1.0) == 100
 
@@ -342,8 +342,8 @@
 def test_an_attempt_may_wait_for_what_is_made_toward_a_cold_server_and_fewer_may() -> None:
     p = plan(making=8, waiting=8)
     p.warmth("a", 0.25)
-    told = [p.take("a", 0, proof=False).answer for _ in range(9)]
-    assert told == [Answer.OPEN] + [Answer.WAIT] * 2 + [Answer.CANNOT] * 6
+    answers = [p.take("a", 0, proof=False).answer for _ in range(9)]
+    assert answers == [Answer.OPEN] + [Answer.WAIT] * 2 + [Answer.CANNOT] * 6
 
 
 def test_what_stands_idle_beyond_the_ceiling_is_closed_half_at_a_time() -> None:
@@ -351,7 +351,7 @@
     idle(p, "a", 20, 0)
     now, left = 0, []
     for _ in range(8):
-        now += LOOK_US
+        now += REVIEW_INTERVAL_US
         one = busy(p, "a", now)
         p.answered(one, now + MS, keep=True)
         p.tick(now + 2 * MS)
@@ -363,17 +363,17 @@
 def test_a_server_that_hangs_does_not_take_the_descriptors_that_others_need() -> None:
     p = plan(most=80)
     answers = [p.take("a", 0, proof=False) for _ in range(200)]
-    for told in answers:
-        if told.answer is Answer.OPEN:
-            p.opened(told.connection, 0, taken=True)
+    for result in answers:
+        if result.answer is Answer.OPEN:
+            p.opened(result.connection, 0, taken=True)
             p.waits_no_more("a")
     while True:
-        told = p.take("a", 1, proof=False)
-        if told.answer is not Answer.OPEN:
+        result = p.take("a", 1, proof=False)
+        if result.answer is not Answer.OPEN:
             break
         p.waits_no_more("a")
-        p.opened(told.connection, 1, taken=True)
-    assert told.answer is Answer.CANNOT and 70 <= p.servers["a"].held < 72  # an eighth is left
+        p.opened(result.connection, 1, taken=True)
+    assert result.answer is Answer.CANNOT and 70 <= p.servers["a"].held < 72  # an eighth of 80 is left
     for server in "bc":
         assert p.take(server, 2, proof=False).answer is Answer.OPEN
 
@@ -382,13 +382,13 @@
     p = plan()
     for at in range(0, 10 * S, S):
         dead = idle(p, "a", 2, at)[1]
-        took = busy(p, "a", at + 600 * MS)
-        if took != dead:
+        used = busy(p, "a", at + 600 * MS)
+        if used != dead:
             break
         alive = busy(p, "a", at + 601 * MS)
         p.answered(alive, at + 611 * MS, keep=True)
         p.ended(dead, at + 900 * MS, silent=True)
-    assert at == 2 * S  # two are evidence
+    assert at == 2 * S  # two breaks are enough evidence
     assert p.servers["a"].idle_time.limit_us == 400 * MS
 
 
@@ -399,12 +399,12 @@
         p.use_us = 100 * MS
         assert busy(p, "a", at + 600 * MS) == other
         if at % (2 * S):
-            p.ended(other, at + 1050 * MS, silent=True)  # nothing came on others either
+            p.ended(other, at + 1050 * MS, silent=True)  # no answer on the other connection either
         else:
             assert busy(p, "a", at + 600 * MS) == one
             p.answered(one, at + 700 * MS, keep=True)
-            p.ended(other, at + 701 * MS, silent=True)  # given up as soon as another had answered
-    assert p.servers["a"].idle_time.limit_us == int(MARGIN * 10 * S)
+            p.ended(other, at + 701 * MS, silent=True)  # given up right after the other was answered
+    assert p.servers["a"].idle_time.limit_us == int(IDLE_MARGIN * 10 * S)
 
 
 def test_a_server_replaced_at_the_same_address_keeps_nothing_of_the_old_one() -> None:
@@ -415,7 +415,7 @@
     also = p.take("a", 5, proof=False)
     assert making.answer is Answer.USE and also.answer is Answer.OPEN
     assert p.place("a", 10) == [x for x in held if x in p.idle or x not in (out, making.connection)]
-    assert not p.opened(also.connection, 20, taken=False)  # made for the old one
+    assert not p.opened(also.connection, 20, taken=False)  # opened to the old server
     assert not p.answered(out, 20, keep=True)
     assert not p.answered(making.connection, 20, keep=True)
     assert p.servers["a"].held == 0 and not p.connections
@@ -428,11 +428,11 @@
         PlanSettings(**{"most": 1, "idle_us": 1, **changes})  # type: ignore[arg-type]
 
 
-# ---------------------------------------------------------------- any order of events
+# ---------------------------------------------------------------- arbitrary sequences of events
 
 
 class Fleet(RuleBasedStateMachine):
-    """The plan under any order of events, beside the plainest account of what is open."""
+    """Compares the plan under arbitrary sequences of events with a simple model of the open connections."""
 
     names = ["a", "b", "c", "d"]
 
@@ -442,14 +442,14 @@
         self.plan = Plan(PlanSettings(most=most, idle_us=2 * S, making=3, waiting=2, age_us=5 * S, ahead=1), 4)
         self.making: dict[int, str] = {}
         self.busy: dict[int, str] = {}
-        self.idle: dict[int, tuple[str, int]] = {}  # server, proven at
+        self.idle: dict[int, tuple[str, int]] = {}  # server, time of the last proof
         self.closed: set[int] = set()
         for name in self.names:
             self.plan.place(name, 0)
 
     def _closed(self, numbers: object) -> None:
         for number in list(numbers):  # type: ignore[call-overload]
-            assert number in self.idle, "only idle ones are closed"
+            assert number in self.idle, "only idle connections may be closed"
             del self.idle[number]
             self.closed.add(number)
 
@@ -460,24 +460,24 @@
     @rule(i=st.integers(0, 3), proof=st.booleans())
     def take(self, i: int, proof: bool) -> None:
         server = self.names[i]
-        told = self.plan.take(server, self.now, proof=proof)
-        self._closed(told.close)
-        if told.answer is Answer.USE:
-            assert told.connection not in self.closed, "a retired one is handed out"
-            owner, proven = self.idle.pop(told.connection)
+        result = self.plan.take(server, self.now, proof=proof)
+        self._closed(result.close)
+        if result.answer is Answer.USE:
+            assert result.connection not in self.closed, "a closed connection was assigned"
+            owner, proven = self.idle.pop(result.connection)
             assert owner == server
             assert not proof or self.now - proven <= self.plan.settings.proof_us
             assert self.now - proven < 2 * S
-            self.busy[told.connection] = server
-        elif told.answer is Answer.OPEN:
-            self.making[told.connection] = server
+            self.busy[result.connection] = server
+        elif result.answer is Answer.OPEN:
+            self.making[result.connection] = server
             self.plan.waits_no_more(server)
-        elif told.answer is Answer.WAIT:
+        elif result.answer is Answer.WAIT:
             self.plan.waits_no_more(server)
 
     @rule(i=st.integers(0, 3), proof=st.booleans(), count=st.integers(1, 4))
     def serve(self, i: int, proof: bool, count: int) -> None:
-        """So many attempts at once, all of them answered: what leaves connections idle."""
+        """Sends ``count`` attempts at once and answers all of them, which leaves connections idle."""
         before = set(self.busy)
         for _ in range(count):
             self.take(i, proof)
@@ -570,16 +570,16 @@
         if rng.random() < 0.55:
             server = names[0] if rng.random() < 0.6 else rng.choice(names)
             before = len(p.connections)
-            told = p.take(server, now, proof=False)
-            if told.answer is Answer.OPEN:
+            result = p.take(server, now, proof=False)
+            if result.answer is Answer.OPEN:
                 s = p.servers[server]
                 if 8 * (40 - before) < 40:
                     seen += 1
-                    assert s.held <= max(2, s.want(), 40 // 6)
+                    assert s.held <= max(2, s.ceiling(), 40 // 6)
                 p.waits_no_more(server)
-                p.opened(told.connection, now, taken=True)
-            if told.answer in (Answer.USE, Answer.OPEN):
-                out.append(told.connection)
+                p.opened(result.connection, now, taken=True)
+            if result.answer in (Answer.USE, Answer.OPEN):
+                out.append(result.connection)
         elif out:
             p.answered(out.pop(rng.randrange(len(out))), now, keep=True)
         if rng.random() < 0.01:
@@ -597,30 +597,30 @@
     now, making, out = 0, list[tuple[int, str]](), list[int]()
     for _ in range(100_000):
         now += rng.randrange(3 * MS)
-        dice = rng.random()
-        if dice < 0.45:
+        draw = rng.random()
+        if draw < 0.45:
             server = rng.choice(names)
-            told = p.take(server, now, proof=rng.random() < 0.5)
-            if told.answer is Answer.USE:
-                out.append(told.connection)
-            elif told.answer is Answer.OPEN:
-                making.append((told.connection, server))
-            elif told.answer is Answer.WAIT:
+            result = p.take(server, now, proof=rng.random() < 0.5)
+            if result.answer is Answer.USE:
+                out.append(result.connection)
+            elif result.answer is Answer.OPEN:
+                making.append((result.connection, server))
+            elif result.answer is Answer.WAIT:
                 p.waits_no_more(server)
-        elif dice < 0.65 and making:
+        elif draw < 0.65 and making:
             number, server = making.pop(rng.randrange(len(making)))
             p.waits_no_more(server)
             if rng.random() < 0.1:
                 p.failed(number, now)
             elif p.opened(number, now, taken=True):
                 out.append(number)
-        elif dice < 0.95 and out:
+        elif draw < 0.95 and out:
             number = out.pop(rng.randrange(len(out)))
             if rng.random() < 0.05:
                 p.ended(number, now, by_server=True)
             else:
                 p.answered(number, now, keep=rng.random() < 0.95)
-        elif dice < 0.99:
+        elif draw < 0.99:
             making += [(number, server) for server, number in p.tick(now)[1]]
         else:
             p.place(rng.choice(names), now)
--- a/tests/connections/test_socket_side.py
+++ b/tests/connections/test_socket_side.py
@@ -1,4 +1,4 @@
-"""``node.backends`` by itself: which outcome each attempt hears when connections are being made."""
+"""Tests of ``node.backends`` in isolation: the outcome of each attempt while connections are being opened."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Core:
-    """What the socket side needs of the node, writing down how attempts end."""
+    """A stub of the node for ``Backends`` that records the outcomes of attempts."""
 
     def __init__(self, ahead: int = 0, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -67,9 +67,9 @@
             assert plan.servers[id].making == host.waiters.making
 
 
-async def until(what: Callable[[], Any], seconds: float = 10.0) -> None:
+async def until(condition: Callable[[], Any], seconds: float = 10.0) -> None:
     async with asyncio.timeout(seconds):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
@@ -84,7 +84,7 @@
 
 
 class Server(asyncio.Protocol):
-    """A server's connection: answers each request when it is told to."""
+    """The server's side of a connection; responds when the test calls ``answer``."""
 
     def __init__(self, made: list[Server]) -> None:
         self.made = made
@@ -103,7 +103,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(**changes: Any) -> AsyncIterator[tuple[Core, list[Server]]]:
-    """A socket side before one server, "s", and the connections that it has accepted, in their order."""
+    """A ``Backends`` with one server, "s", and the connections that the server has accepted, in order."""
     made: list[Server] = []
     server = await asyncio.get_running_loop().create_server(lambda: Server(made), *free_address())
     async with core(**changes) as c:
@@ -112,8 +112,8 @@
     server.close()
 
 
-async def asked(made: list[Server], *requests: int) -> None:
-    """Wait until the connections accepted have had so many requests each."""
+async def requests_received(made: list[Server], *requests: int) -> None:
+    """Waits until the accepted connections have received these numbers of requests."""
     await until(lambda: [s.requests for s in made] == list(requests))
 
 
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("linger", [True, False])
 def test_a_connection_found_dead_before_the_request_is_written_could_not_connect(linger: bool) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         listener = socket.socket()
         listener.bind(free_address())
         listener.listen()
@@ -133,7 +133,7 @@
             real = c.loop.create_connection
 
             async def slow(*args: Any, **kw: Any) -> Any:
-                """Comes back only once the server's reset, or its end, is here."""
+                """Returns only after the server's reset or FIN has arrived."""
                 made = await real(*args, **kw)
                 conn, _ = listener.accept()
                 if linger:
@@ -151,20 +151,20 @@
             c.consistent()
         listener.close()
 
-    run(whole())
+    run(scenario())
 
 
 def test_a_kept_connection_found_dead_is_passed_over_and_another_is_made() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             c.attempt()
-            await asked(made, 1)
+            await requests_received(made, 1)
             made[0].answer()
             await until(lambda: c.ends)
             conn = next(iter(c.backends.connections.values()))
             transport = conn.transport
             assert transport is not None
-            transport.pause_reading()  # so that the end lies unread when the connection is picked
+            transport.pause_reading()  # the end of the connection must be unread when it is chosen
             made[0].transport.abort()
             sock = transport.get_extra_info("socket")
             poller = select.poll()
@@ -177,17 +177,17 @@
             assert c.outcomes() == [Outcome.OK] * 2
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_of_those_that_wait_in_vain_one_for_each_connection_failed_to_connect_and_the_rest_never_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     start = now_us()
-    # On a busy machine connections are given up late, and attempts that waited for them would have waited too long.
+    # With a real clock, connects time out late on a busy machine, and the waiting attempts exceed their wait limit.
     monkeypatch.setattr(backends, "now_us", lambda: start)
 
-    async def whole() -> None:
+    async def scenario() -> None:
         with deaf() as address:
             async with core(connect_timeout_us=200_000) as c:
                 c.backends.place("s", address, 0)
@@ -202,14 +202,14 @@
                 await until(lambda: not c.backends.connections)
                 c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_an_attempt_takes_the_connection_that_is_free_first_and_the_one_made_for_it_is_kept() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             first = c.attempt()
-            await asked(made, 1)
+            await requests_received(made, 1)
             hold = asyncio.Event()
             real = c.loop.create_connection
 
@@ -233,11 +233,11 @@
             assert c.outcomes() == [Outcome.OK] * 2 and made[1].requests == 0
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_an_attempt_that_was_called_off_while_it_waited_leaves_its_place() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             gone, stays = c.attempt(), c.attempt()
             c.end(gone, Outcome.CANCELLED)
@@ -250,30 +250,30 @@
             await until(lambda: len(c.backends.plan.idle) == 2)
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 @pytest.mark.parametrize("again", [True, False])
 def test_attempts_that_wait_for_a_server_that_is_gone_or_moved_may_go_elsewhere_at_once(again: bool) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         with deaf() as address:
             async with core(connect_timeout_us=9 * S) as c:
                 c.backends.place("s", address, 0)
                 attempts = [c.attempt() for _ in range(3)]
                 assert not c.ends
                 if again:
-                    c.backends.place("s", address, now_us())  # the same id and address, started anew
+                    c.backends.place("s", address, now_us())  # the same id and address after a restart
                 else:
                     c.backends.remove("s")
                 assert c.outcomes() == [Outcome.MOOT] * 3 and all(a.ended for a in attempts)
                 if again:
                     assert c.backends.plan.servers["s"].waiting == c.backends.plan.servers["s"].making == 0
 
-    run(whole())
+    run(scenario())
 
 
 def test_a_connection_made_for_a_server_that_was_replaced_meanwhile_is_not_kept() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             c.attempt()
             c.backends.place("s", c.backends.hosts["s"].address, now_us())
@@ -282,14 +282,14 @@
             assert not c.backends.connections and not c.backends.plan.connections
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_spares_are_opened_by_the_plan_and_used_without_a_wait() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving(ahead=1) as (c, made):
             c.attempt()
-            await asked(made, 1)
+            await requests_received(made, 1)
 
             def tended() -> bool:
                 c.backends.tend(now_us())
@@ -301,34 +301,34 @@
             await until(lambda: made[1].requests)
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_what_is_out_of_reach_keeps_no_idle_connection() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             c.attempt()
-            await asked(made, 1)
+            await requests_received(made, 1)
             made[0].answer()
             await until(lambda: len(c.backends.plan.idle) == 1)
             c.backends.let_go(["s", "nobody"])
             assert not c.backends.connections and not c.backends.plan.connections
 
-    run(whole())
+    run(scenario())
 
 
 def test_an_attempt_that_is_never_answered_on_a_kept_connection_counts_against_its_idle_time() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with serving() as (c, made):
             for _ in range(2):
                 c.attempt("look")
-            await asked(made, 1, 1)
+            await requests_received(made, 1, 1)
             for one in made:
                 one.answer()
             await until(lambda: len(c.ends) == 2)
             await asyncio.sleep(0.06)  # beyond the first bucket of idle times
             dead, alive = c.attempt("look"), c.attempt("look")
-            await asked(made, 2, 2)
+            await requests_received(made, 2, 2)
             conn = alive.conn
             assert conn is not None and conn.transport is not None
             ours = conn.transport.get_extra_info("sockname")
@@ -341,11 +341,11 @@
             assert sum(broke) == 1 and not broke[0]
             c.consistent()
 
-    run(whole())
+    run(scenario())
 
 
 def test_a_server_is_presumed_cold_by_its_start_and_warms_with_its_age() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         async with core(cold_share=0.2, ramp_us=20 * S) as c:
             now = now_us()
             for id, started in (("old", 0), ("cold", now), ("half", now - 10 * S), ("warm", now - 30 * S)):
@@ -361,4 +361,4 @@
             c.backends.tend(now + 21 * S)
             assert warm() == [1.0] * 4 and not c.backends.young
 
-    run(whole())
+    run(scenario())
--- a/tests/connections/test_stale.py
+++ b/tests/connections/test_stale.py
@@ -1,4 +1,4 @@
-"""Real nodes before servers that drop idle connections without a word, told that they keep them far longer."""
+"""Real nodes with servers that drop idle connections silently, long before the announced idle timeout."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     assert not stale.keys() - {"lookup"}, stale
     classes = result.recording.rules.classes
     keyed = {i for i, call in enumerate(result.recording.rules.calls) if classes[call.cls].effect == "dedup"}
-    assert len(keyed) > 30 and stale["lookup"] > 0  # lookups did meet dead ones
+    assert len(keyed) > 30 and stale["lookup"] > 0  # lookups did use dead connections
     sent = Counter(s.call for s in result.recording.sent if s.call in keyed)
-    assert set(sent.values()) == {1}  # none had to be sent a second time
+    assert set(sent.values()) == {1}  # none had to be retried
     assert all(a.status == 200 for a in result.recording.asks if a.call in keyed)
     assert all(s.fate is Fate.DONE for s in result.recording.sent if s.call in keyed)
--- a/tests/connections/test_subset.py
+++ b/tests/connections/test_subset.py
@@ -1,4 +1,4 @@
-"""The part of a large fleet that a node keeps connections to: even over all nodes, slow to change."""
+"""Tests of subsetting: the load is balanced over all nodes, and subsets change slowly."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from headspar.connections.subset import Member, Subset, SubsetSettings, ring_place, shares
+from headspar.connections.subset import Member, Subset, SubsetSettings, ring_position, shares
 
 S = 1_000_000
 
@@ -18,14 +18,14 @@
     return [Member(f"i-{i}", f"z{i % zones}", i // zones // cell_size) for i in range(first, first + count)]
 
 
-def tier(nodes: int, most: int, members: list[Member]) -> list[Subset]:
+def node_subsets(nodes: int, most: int, members: list[Member]) -> list[Subset]:
     out = [Subset(SubsetSettings(most, i, nodes)) for i in range(nodes)]
     for subset in out:
         subset.update(members, 1)
     return out
 
 
-def covered(subsets: list[Subset], members: list[Member]) -> Counter[str]:
+def nodes_per_server(subsets: list[Subset], members: list[Member]) -> Counter[str]:
     count = Counter({m.id: 0 for m in members})
     for subset in subsets:
         count.update(subset.held)
@@ -33,14 +33,14 @@
 
 
 def settle(subset: Subset, now: int) -> int:
-    """Let all exchanges that are due take place; how many there were."""
+    """Ticks until no exchange is due; returns the number of ticks that made one."""
     count = 0
     for _ in range(10_000):
         now += subset.settings.swap_us
         if not subset.tick(now):
             return count
         count += 1
-    raise AssertionError("never settles")
+    raise AssertionError("exchanges do not end")
 
 
 def test_a_fleet_that_fits_is_in_reach_as_a_whole() -> None:
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("nodes", "servers", "most"), [(40, 1000, 333), (7, 100, 60), (110, 600, 77), (40, 999, 90)])
 def test_every_server_is_reached_by_nearly_the_same_number_of_nodes(nodes: int, servers: int, most: int) -> None:
     members = fleet(servers)
-    count = covered(tier(nodes, most, members), members).values()
+    count = nodes_per_server(node_subsets(nodes, most, members), members).values()
     mean = sum(count) / servers
     assert min(count) >= 1
     assert max(count) - min(count) <= 2 and min(count) > mean - 1.5
@@ -63,7 +63,7 @@
 
 def test_zones_are_reached_in_proportion() -> None:
     members = [Member(f"a{i}", "a", 0) for i in range(800)] + [Member(f"b{i}", "b", 0) for i in range(200)]
-    for subset in tier(40, 300, members):
+    for subset in node_subsets(40, 300, members):
         got = Counter(id[0] for id in subset.held)
         assert got == {"a": 120, "b": 30}
 
@@ -71,14 +71,14 @@
 def test_a_cell_is_mostly_reached_whole() -> None:
     members = fleet(960, cell_size=4)
     cells = {m.id: (m.zone, m.cell) for m in members}
-    for subset in tier(20, 320, members):
+    for subset in node_subsets(20, 320, members):
         got = Counter(cells[id] for id in subset.held)
-        assert sum(n < 4 for n in got.values()) <= 6  # two at the edges of each zone's window
+        assert sum(n < 4 for n in got.values()) <= 6  # partial cells only at the two edges of each zone's window
 
 
 def test_one_server_more_or_less_exchanges_few() -> None:
     members = fleet(1000)
-    subsets = tier(40, 333, members)
+    subsets = node_subsets(40, 333, members)
     moved = []
     for subset in subsets:
         before = set(subset.held)
@@ -91,7 +91,7 @@
 def test_a_fifth_of_the_fleet_lost_is_made_up_at_once_and_the_rest_moves_slowly() -> None:
     members = fleet(1000)
     rng = random.Random(3)
-    for subset in tier(40, 333, members):
+    for subset in node_subsets(40, 333, members):
         left = [m for m in members if rng.random() > 0.23]
         kept = subset.held & {m.id for m in left}
         subset.update(left, 2 * S)
@@ -99,7 +99,7 @@
         for i in range(1, 5):
             change = subset.tick(2 * S + i * subset.settings.swap_us)
             assert len(change.entered) <= 1 and len(change.left) <= 1
-            assert not subset.tick(2 * S + (i + 1) * subset.settings.swap_us - 1)  # no sooner than that
+            assert not subset.tick(2 * S + (i + 1) * subset.settings.swap_us - 1)  # none before ``swap_us``
         settle(subset, 10 * S)
         assert subset.held == subset.wanted(0)
 
@@ -120,10 +120,10 @@
 
 def test_nodes_that_follow_one_another_stand_apart() -> None:
     for nodes in range(1, 200):
-        places = [ring_place(i, nodes) for i in range(nodes)]
-        assert sorted(places) == list(range(nodes))
+        positions = [ring_position(i, nodes) for i in range(nodes)]
+        assert sorted(positions) == list(range(nodes))
         if nodes > 8:
-            gaps = [min((a - b) % nodes, (b - a) % nodes) for a, b in zip(places, places[1:], strict=False)]
+            gaps = [min((a - b) % nodes, (b - a) % nodes) for a, b in zip(positions, positions[1:], strict=False)]
             assert min(gaps) > nodes // 5
 
 
@@ -168,7 +168,7 @@
 
 
 def test_nodes_of_a_large_fleet_keep_to_few_servers_each_and_every_server_has_enough_nodes() -> None:
-    """Found on the days of large fleets: a node met each of 60 servers every 2.5 s and learned of none in time."""
+    """In a large fleet a node that used all 60 servers sent to each only every 2.5 s and learned none in time."""
     members = [Member(f"s{i}", "abc"[i % 3], i % 8) for i in range(60)]
     fleet = [Subset(SubsetSettings(200, i, 40, reach=20, overlap=8)) for i in range(40)]
     for subset in fleet:
@@ -191,7 +191,7 @@
 
 
 def test_nodes_turn_to_new_servers_in_different_orders_and_soon() -> None:
-    """Found with a zone that came back: nodes whose windows overlap all turned to the same server first."""
+    """When a zone recovered, all nodes with overlapping windows added the same server first."""
     fleet = [Subset(SubsetSettings(200, i, 40, reach=20, swap_us=S // 4)) for i in range(40)]
     old = [Member(f"s{i}") for i in range(32)]
     new = [Member(f"n{i}") for i in range(28)]
@@ -203,6 +203,6 @@
         assert len(change.entered) <= 1 and len(change.left) == len(change.entered)
         first += change.entered
         for k in range(1, 6):
-            assert len(subset.tick(S + 10 * k * S).entered) <= 4, "a late look makes up for no more"
+            assert len(subset.tick(S + 10 * k * S).entered) <= 4, "a late tick makes at most four exchanges"
         assert subset.held == subset.wanted(60 * S) and len(subset.held) == 20
-    assert max(Counter(first).values()) <= 5, "in the ring's order 13 of 40 begin with the same one"
+    assert max(Counter(first).values()) <= 5, "in ring order 13 of 40 nodes would begin with the same server"
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -34,8 +34,8 @@
                   "            return\n        r.key = str(self.serial)\n")
 
 # No connection to a server is used twice.
-SHAKES = planted("connections/plan.py", '        """The attempt on a connection has ended in order',
-                 '        keep = False\n        """The attempt on a connection has ended in order')
+SHAKES = planted("connections/plan.py", '        """Records that the attempt on a connection was answered',
+                 '        keep = False\n        """Records that the attempt on a connection was answered')
 # The module hears of everything a tenth of a second late.
 DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
                   "            self.loop.call_later(0.1, self._turn)\n")
