--- a/headspar/handover/__init__.py
+++ b/headspar/handover/__init__.py
@@ -1,5 +1,6 @@
-"""An upgrade: a second process takes over from the first, and no client notices.
+"""Zero-downtime upgrades: a new process takes over sockets and learned state from the old process of a node.
 
-Owns what the two say (``messages``), how they share one node's limits and who is where in it (``shares``,
-``sides``), all without I/O, and the sockets at which they meet (``meeting``, ``giver``, ``taker``).
+The messages between the two (``messages``), the division of one node's limits (``shares``), the state machines of
+both sides (``sides``) and the format of learned state (``beliefs``) do no I/O.  ``meeting`` holds the Unix socket
+between them, ``giver`` the old process's side and ``taker`` the new one's.
 """
--- a/headspar/handover/giver.py
+++ b/headspar/handover/giver.py
@@ -1,4 +1,7 @@
-"""The process that serves: it listens for a successor and hands its sockets over, clients' ones between requests."""
+"""The old process's side of a hand-over: listens for a new process and passes it the sockets.
+
+Connections of clients are passed between two requests.
+"""
 
 from __future__ import annotations
 
@@ -11,39 +14,39 @@
 
 from headspar.handover import meeting
 from headspar.handover.messages import MAX_SOCKETS, Clients, Held, MessageError, No, Offer
-from headspar.handover.sides import Do, Giving, giver
+from headspar.handover.sides import Action, Giving, old_process_step
 
-LOOK_S = 0.1
-AGAIN_S = 0.005  # when the successor has no room for a packet
-HELLO_S = 1.0
+REPORT_INTERVAL_S = 0.1
+RETRY_S = 0.005  # while the socket to the new process is socket_full
+HELLO_TIMEOUT_S = 1.0
 
 
-class Serving(Protocol):
-    """What a giver needs of the process it stands in."""
+class HandoverHost(Protocol):
+    """The interface that ``Giver`` needs of its process."""
 
     def offered(self) -> tuple[Offer, list[int], bytes]:
-        """A second process starts: the offer, its sockets, what is believed."""
+        """A new process starts: returns the offer, the descriptors for it, and the serialized learned state."""
 
     def succeeded(self) -> None:
-        """It serves: stop accepting."""
+        """The new process serves: stops accepting connections."""
 
     def idle(self, most: int) -> list[int]:
-        """Descriptors of up to so many clients between requests; they stay ours until ``given``."""
+        """Returns the descriptors of up to ``most`` clients between requests; they stay owned until ``given``."""
 
     def given(self, files: list[int]) -> None:
-        """These have gone over: end our side of them."""
+        """The new process has these descriptors: closes them here."""
 
     def held(self) -> Held:
-        """What this process still holds."""
+        """Returns the numbers of clients, backend connections and requests that this process still holds."""
 
     def alone(self) -> None:
-        """There is no second process any more."""
+        """The new process has ended."""
 
 
 class Giver:
-    """The socket for successors, and the one that has come."""
+    """Listens for a new process and hands over to the one that has connected."""
 
-    def __init__(self, process: Serving, loop: asyncio.AbstractEventLoop, path: Path) -> None:
+    def __init__(self, process: HandoverHost, loop: asyncio.AbstractEventLoop, path: Path) -> None:
         self.process, self.loop, self.path = process, loop, path
         self.state = Giving.ALONE
         self.link: socket.socket | None = None
@@ -72,27 +75,27 @@
             return
         self.link = link
         self.loop.add_reader(link.fileno(), self._read)
-        self.timer = self.loop.call_later(HELLO_S, self._no_hello)
+        self.timer = self.loop.call_later(HELLO_TIMEOUT_S, self._hello_timeout)
 
-    def _no_hello(self) -> None:
+    def _hello_timeout(self) -> None:
         if self.state is Giving.ALONE:
             self._stop()
 
     def _read(self) -> None:
         assert self.link is not None
         try:
-            got = meeting.receive(self.link)
-            if got is None:
+            received = meeting.receive(self.link)
+            if received is None:
                 self._stop()
                 return
-            message, files = got
-            meeting.close(files)  # a successor has none to give
-            self.state, do = giver(self.state, message)
-            if do is Do.OFFER:
-                self._offer(self.link)
-            elif do is Do.HAND_OVER:
+            message, files = received
+            meeting.close(files)  # a new process sends none
+            self.state, action = old_process_step(self.state, message)
+            if action is Action.OFFER:
+                self._send_offer(self.link)
+            elif action is Action.HAND_OVER:
                 self.process.succeeded()
-                self._look()
+                self._hand_over()
             else:
                 self._stop()
         except (BlockingIOError, InterruptedError):
@@ -100,7 +103,7 @@
         except (OSError, MessageError):
             self._stop()
 
-    def _offer(self, link: socket.socket) -> None:
+    def _send_offer(self, link: socket.socket) -> None:
         offer, files, beliefs = self.process.offered()
         memory = os.memfd_create("headspar", os.MFD_CLOEXEC)
         try:
@@ -110,26 +113,26 @@
         finally:
             os.close(memory)
 
-    # ------------------------------------------------------------ clients go over
+    # ------------------------------------------------------------ hand-over of clients
 
     def changed(self) -> None:
-        """A client stands between two requests: hand it over now."""
+        """A client has become idle between two requests: hands it over at once."""
         if self.state is Giving.SUCCEEDED and self.link is not None:
-            self._clients(self.link)
+            self._send_clients(self.link)
 
-    def _look(self) -> None:
+    def _hand_over(self) -> None:
         self._cancel()
         if self.state is not Giving.SUCCEEDED or self.link is None:
             return
-        full = not self._clients(self.link)
+        socket_full = not self._send_clients(self.link)
         if self.link is None:
             return
-        with contextlib.suppress(OSError):  # the next one says it again
+        with contextlib.suppress(OSError):  # the next report repeats it
             meeting.send(self.link, self.process.held())
-        self.timer = self.loop.call_later(AGAIN_S if full else LOOK_S, self._look)
+        self.timer = self.loop.call_later(RETRY_S if socket_full else REPORT_INTERVAL_S, self._hand_over)
 
-    def _clients(self, link: socket.socket) -> bool:
-        """Hand over all that can go; False if the successor has no room now."""
+    def _send_clients(self, link: socket.socket) -> bool:
+        """Hands over all idle clients; returns False if the socket to the new process is socket_full."""
         while True:
             files = self.process.idle(MAX_SOCKETS)
             if not files:
@@ -143,7 +146,7 @@
                 return True
             self.process.given(files)
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ end of the hand-over
 
     def _cancel(self) -> None:
         if self.timer is not None:
@@ -151,23 +154,23 @@
             self.timer = None
 
     def _stop(self) -> None:
-        """No successor any more: it has died, or can't be understood."""
+        """Ends the hand-over after the new process has died or sent an invalid message."""
         self._cancel()
         link, self.link = self.link, None
         if link is not None:
             self.loop.remove_reader(link.fileno())
             link.close()
-        before, self.state = self.state, Giving.ALONE
-        if before is Giving.SUCCEEDED:  # its socket file stands over ours
+        previous, self.state = self.state, Giving.ALONE
+        if previous is Giving.SUCCEEDED:  # its socket file has replaced ours
             self.loop.remove_reader(self.sock.fileno())
             self.sock.close()
             with contextlib.suppress(OSError):
                 self._bind()
-        if before is not Giving.ALONE:
+        if previous is not Giving.ALONE:
             self.process.alone()
 
     def close(self) -> None:
-        """The process ends: the successor sees the connection end; our socket file goes, unless it is its own."""
+        """Closes all sockets; removes the socket file unless it is the new process's."""
         self._cancel()
         self.loop.remove_reader(self.sock.fileno())
         self.sock.close()
--- a/headspar/handover/meeting.py
+++ b/headspar/handover/meeting.py
@@ -1,4 +1,4 @@
-"""The place where two processes of one node meet: a Unix socket in ``$TMPDIR``, and packets with sockets on it."""
+"""The Unix socket in ``$TMPDIR`` between the two processes of one node; packets carry descriptors."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from headspar.config import Address
 from headspar.handover.messages import MAX_PACKET, MAX_SOCKETS, Message, MessageError, decode, encode
 
-FD = struct.calcsize("i")
+FD = struct.calcsize("i")  # bytes of a descriptor in ancillary data
 
 
 def place(environ: Mapping[str, str], listen: Address) -> Path | None:
-    """The socket's path; None where there is no ``$TMPDIR``: a directory that all share is no place for it."""
+    """The socket's path; None without ``$TMPDIR``, as the socket must not be in a directory shared by all users."""
     folder = environ.get("TMPDIR")
     return Path(folder) / f"headspar-{listen[0].replace(':', '_')}-{listen[1]}.sock" if folder else None
 
 
 @contextlib.contextmanager
 def _short(path: Path) -> Iterator[str]:
-    """A name for the path that fits a socket's address, which holds 108 bytes."""
+    """An alias of the path that fits a Unix socket address, which holds 108 bytes."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -33,7 +33,10 @@
 
 
 def bind(path: Path) -> socket.socket:
-    """Listen at the path; a socket file that another process has there, alive or dead, is replaced at once."""
+    """Listens at the path; atomically replaces the socket file of another process, alive or dead.
+
+    Raises ``OSError``.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     new = path.with_name(f"{path.name}.{os.getpid()}")
     try:
@@ -52,7 +55,7 @@
 
 
 def connect(path: Path, seconds: float) -> socket.socket:
-    """A connection to the process at the path; ``OSError`` if nobody is there."""
+    """Connects to the process at the path, with a timeout in seconds; raises ``OSError`` if none listens."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.settimeout(seconds)
     try:
@@ -66,22 +69,25 @@
 
 
 def check_user(sock: socket.socket) -> None:
-    """Another user's process gets nothing from us and hands us nothing."""
+    """Raises ``PermissionError`` if the peer process belongs to another user."""
     _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i")))
     if uid != os.getuid():
-        raise PermissionError(f"the process there is of user {uid}")
+        raise PermissionError(f"the other process belongs to user {uid}")
 
 
 def send(sock: socket.socket, message: Message, files: list[int] | None = None) -> None:
-    """One packet, with descriptors; ``BlockingIOError`` if it has no room now."""
+    """Sends one packet with descriptors; raises ``BlockingIOError`` if the socket buffer is full."""
     ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", files))] if files else []
     sock.sendmsg([encode(message)], ancillary)
 
 
 def receive(sock: socket.socket) -> tuple[Message, list[int]] | None:
-    """One packet and its descriptors, which are the caller's to close; None at the end of the connection."""
-    room = socket.CMSG_LEN(MAX_SOCKETS * FD)
-    packet, ancillary, flags, _ = sock.recvmsg(MAX_PACKET + 1, room, socket.MSG_CMSG_CLOEXEC)
+    """Receives one packet and its descriptors, which the caller has to close; None at the end of the connection.
+
+    Raises ``MessageError`` for an invalid packet, whose descriptors are closed.
+    """
+    ancillary_size = socket.CMSG_LEN(MAX_SOCKETS * FD)
+    packet, ancillary, flags, _ = sock.recvmsg(MAX_PACKET + 1, ancillary_size, socket.MSG_CMSG_CLOEXEC)
     files = array.array("i")
     for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
@@ -99,5 +105,6 @@
 
 
 def close(files: list[int]) -> None:
+    """Closes the descriptors."""
     for fd in files:
         os.close(fd)
--- a/headspar/handover/messages.py
+++ b/headspar/handover/messages.py
@@ -1,11 +1,10 @@
-"""What two processes of one node say to each other: packets of JSON, versioned and bounded; without I/O.
+"""The messages between the two processes of one node: versioned JSON packets of bounded size; without I/O.
 
-A packet that can't be read, or says what its sender may not say, raises ``MessageError``: the one who reads it
-ends the hand-over and goes on alone.
+An invalid packet raises ``MessageError``; its receiver ends the hand-over and continues alone.
 
-The two may be of different versions.  Fields that this one doesn't know are passed over; a field that came later has
-a default, for packets that lack it; a kind of message that came later is sent only to who has said, in such a field,
-that it knows it.  ``VERSION`` rises only where none of this will do.
+The two processes may run different versions.  Unknown fields are ignored; a field added later has a default for
+packets that lack it; a message type added later is sent only to a process that has declared support for it in such a
+field.  ``VERSION`` is raised only for changes that these rules do not cover.
 """
 
 from __future__ import annotations
@@ -20,19 +19,23 @@
 
 
 class MessageError(ValueError):
-    """A packet of the other process that can't be used; the text says why."""
+    """An invalid packet of the other process; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """new to old, first: who asks."""
+    """New to old process, first message: the name of the node."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """old to new, with the listening socket, the peers' socket if ``peers``, and a file of beliefs."""
+    """Old to new process: comes with the listening socket, the peers' socket if ``peers``, and a file of learned
+    state.
+
+    ``clients``, ``backends`` and ``requests`` are the numbers that the old process holds.
+    """
 
     peers: bool
     clients: int
@@ -42,19 +45,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """new to old: it serves now."""
+    """New to old process: the new process serves."""
 
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """old to new, with ``count`` sockets of clients that are between two requests."""
+    """Old to new process: comes with ``count`` sockets of clients that are between two requests."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """old to new: what the old one still holds."""
+    """Old to new process: the numbers that the old process still holds."""
 
     clients: int
     backends: int
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class No:
-    """old to new: no hand-over now."""
+    """Old to new process: refuses the hand-over."""
 
     reason: str
 
@@ -77,35 +80,35 @@
 
 
 def encode(message: Message) -> bytes:
-    """One packet."""
+    """Serializes a message to one packet."""
     return json.dumps({"v": VERSION, "say": type(message).__name__.lower(), **asdict(message)}).encode()
 
 
 def decode(packet: bytes, sockets: int) -> Message:
-    """The message of a packet that came with so many sockets; ``MessageError`` if there is none."""
+    """Parses a packet that came with ``sockets`` descriptors; raises ``MessageError`` if either is invalid."""
     if len(packet) > MAX_PACKET:
-        raise MessageError("a packet is too long")
+        raise MessageError(f"packet longer than {MAX_PACKET} bytes")
     try:
         raw: Any = json.loads(packet)
     except ValueError:
-        raise MessageError("a packet is no JSON") from None
+        raise MessageError("packet is not valid JSON") from None
     if not isinstance(raw, dict) or raw.get("v") != VERSION:
         raise MessageError(f"speaks version {raw.get('v') if isinstance(raw, dict) else None!r}, not {VERSION}")
     kind = KINDS.get(str(raw.get("say")))
     if kind is None:
-        raise MessageError(f"says {str(raw.get('say'))[:40]!r}")
+        raise MessageError(f"unknown message type {str(raw.get('say'))[:40]!r}")
     values: dict[str, Any] = {}
-    for name, wanted in FIELDS[kind].items():
+    for name, expected_type in FIELDS[kind].items():
         value = raw.get(name, DEFAULTS[kind].get(name))
-        if type(value) is not wanted or isinstance(value, int) and not 0 <= value <= 1_000_000:
-            raise MessageError(f"{raw['say']}.{name}: {str(value)[:40]!r}")
+        if type(value) is not expected_type or isinstance(value, int) and not 0 <= value <= 1_000_000:
+            raise MessageError(f"{raw['say']}.{name}: invalid value {str(value)[:40]!r}")
         values[name] = value
     message = kind(**values)
-    want = 0
+    expected_sockets = 0
     if isinstance(message, Offer):
-        want = 3 if message.peers else 2
+        expected_sockets = 3 if message.peers else 2
     elif isinstance(message, Clients):
-        want = message.count
-    if sockets != want:
-        raise MessageError(f"{raw['say']} came with {sockets} sockets, not {want}")
+        expected_sockets = message.count
+    if sockets != expected_sockets:
+        raise MessageError(f"{raw['say']} came with {sockets} sockets, not {expected_sockets}")
     return message
--- a/headspar/handover/shares.py
+++ b/headspar/handover/shares.py
@@ -1,8 +1,9 @@
-"""How two processes keep within one node's limits; without I/O.
+"""Divides the limits of one node between its two processes during an upgrade; without I/O.
 
-Descriptors of a node: its own files, connections taken only to be refused (``spare``), operators, clients,
-backends.  While there are two processes, the second one's own files come out of ``spare``; operators' connections
-are halved; of clients, backends and held requests the second gets what the first does not hold.
+The descriptors of a node are its own files, connections accepted only to be refused (``spare``), operators'
+connections, clients and backends.  While there are two processes, the second one's own files are taken from
+``spare``, operators' connections are halved, and the second process gets the clients, backends and held requests that
+the first does not hold.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 OWN_FILES = 24  # standard streams, loop, listener, discovery, peers, hand-over, one to spare for each
 SPARE = 40
-CLIENTS_SHARE = 0.6
-LEAST = 4
+CLIENTS_SHARE = 0.6  # of the descriptors for clients and backends
+MIN_SHARE = 4  # descriptors
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """The most of each that a process may hold: descriptors, and requests."""
+    """The maximum that a process may hold: descriptors of each use, and requests."""
 
     clients: int
     backends: int
@@ -29,22 +30,22 @@
 
 
 def whole(sockets: int, callers: int, requests: int) -> Shares:
-    """The shares of a process that is alone; ``callers``: connections of operators, 0 where there are none."""
+    """The shares of a process that is alone; ``callers``: operators' connections, 0 without their listener."""
     files = sockets - OWN_FILES - SPARE - (callers + 2 if callers else 0)
-    clients = max(LEAST, int(CLIENTS_SHARE * files))
-    return Shares(clients, max(LEAST, files - clients), SPARE, callers, requests)
+    clients = max(MIN_SHARE, int(CLIENTS_SHARE * files))
+    return Shares(clients, max(MIN_SHARE, files - clients), SPARE, callers, requests)
 
 
 def offered(alone: Shares) -> Shares:
-    """The first process's, once a second one has been offered its place."""
+    """The shares of the first process once it has sent an offer to a second one."""
     return Shares(
         alone.clients, alone.backends, (alone.spare - OWN_FILES) // 2, max(1, alone.callers // 2), alone.requests
     )
 
 
 def second(alone: Shares, held: Held | Offer) -> Shares:
-    """The second process's, beside a first that holds so much."""
+    """The shares of the second process while the first holds ``held``."""
     return Shares(
-        max(LEAST, alone.clients - held.clients), max(LEAST, alone.backends - held.backends),
+        max(MIN_SHARE, alone.clients - held.clients), max(MIN_SHARE, alone.backends - held.backends),
         (alone.spare - OWN_FILES) // 2, max(1, alone.callers // 2), max(1, alone.requests - held.requests),
     )
--- a/headspar/handover/sides.py
+++ b/headspar/handover/sides.py
@@ -1,7 +1,7 @@
-"""Who is where in a hand-over, as two tables of transitions; without I/O.
+"""The state machines of a hand-over, one for the old process (giver) and one for the new (taker); without I/O.
 
-The giver is the process that serves, the taker the one that starts.  Each side is told what has come and says
-what to do; whatever is in no table ends the hand-over, and the process goes on alone.
+Each maps a state and a received message to the next state and an action.  Any other message ends the hand-over, and
+the process continues alone.
 """
 
 from __future__ import annotations
@@ -12,50 +12,50 @@
 
 
 class Giving(Enum):
-    """Where the process that serves stands."""
+    """The state of the old process."""
 
     ALONE = "alone"
-    OFFERED = "offered"  # a second process has our sockets and starts
-    SUCCEEDED = "succeeded"  # it serves; what we hold goes over to it
+    OFFERED = "offered"  # the new process has the sockets and starts
+    SUCCEEDED = "succeeded"  # the new process serves; connections are handed over to it
 
 
-class Taking(Enum):
-    """Where the process that starts stands."""
+class NewProcessState(Enum):
+    """The state of the new process."""
 
-    ASKED = "asked"
-    TAKEN = "taken"  # we have its sockets
-    SERVING = "serving"  # we have said ready
+    ASKED = "asked"  # hello sent
+    TAKEN = "taken"  # offer received with the sockets
+    SERVING = "serving"  # ready sent
 
 
-class Do(Enum):
-    """What a message asks for."""
+class Action(Enum):
+    """The action that a message requires."""
 
-    OFFER = "offer"  # send the sockets and what is believed
-    HAND_OVER = "hand over"  # stop accepting, hand connections over
-    TAKE = "take"  # use the sockets that came
-    ADOPT = "adopt"  # serve the clients that came
-    SHARE = "share"  # the other holds less now
-    STOP = "stop"  # go on alone
+    OFFER = "offer"  # send the sockets and the learned state
+    HAND_OVER = "hand over"  # stop accepting and hand connections over
+    TAKE = "take"  # use the received sockets
+    ADOPT = "adopt"  # serve the received clients
+    SHARE = "share"  # the old process holds less: raise the limits
+    STOP = "stop"  # continue alone
 
 
-GIVER: dict[tuple[Giving, type[Message]], tuple[Giving, Do]] = {
-    (Giving.ALONE, Hello): (Giving.OFFERED, Do.OFFER),
-    (Giving.OFFERED, Ready): (Giving.SUCCEEDED, Do.HAND_OVER),
+OLD_PROCESS_TRANSITIONS: dict[tuple[Giving, type[Message]], tuple[Giving, Action]] = {
+    (Giving.ALONE, Hello): (Giving.OFFERED, Action.OFFER),
+    (Giving.OFFERED, Ready): (Giving.SUCCEEDED, Action.HAND_OVER),
 }
-TAKER: dict[tuple[Taking, type[Message]], tuple[Taking, Do]] = {
-    (Taking.ASKED, Offer): (Taking.TAKEN, Do.TAKE),
-    (Taking.SERVING, Clients): (Taking.SERVING, Do.ADOPT),
-    (Taking.SERVING, Held): (Taking.SERVING, Do.SHARE),
+NEW_PROCESS_TRANSITIONS: dict[tuple[NewProcessState, type[Message]], tuple[NewProcessState, Action]] = {
+    (NewProcessState.ASKED, Offer): (NewProcessState.TAKEN, Action.TAKE),
+    (NewProcessState.SERVING, Clients): (NewProcessState.SERVING, Action.ADOPT),
+    (NewProcessState.SERVING, Held): (NewProcessState.SERVING, Action.SHARE),
 }
 
 
-def giver(state: Giving, message: Message) -> tuple[Giving, Do]:
-    """The serving process's next state, and what it does."""
-    return GIVER.get((state, type(message)), (Giving.ALONE, Do.STOP))
+def old_process_step(state: Giving, message: Message) -> tuple[Giving, Action]:
+    """The old process's next state and its action."""
+    return OLD_PROCESS_TRANSITIONS.get((state, type(message)), (Giving.ALONE, Action.STOP))
 
 
-def taker(state: Taking, message: Message) -> tuple[Taking, Do]:
-    """The starting process's next state, and what it does."""
+def new_process_step(state: NewProcessState, message: Message) -> tuple[NewProcessState, Action]:
+    """The new process's next state and its action."""
     if isinstance(message, No):
-        return state, Do.STOP
-    return TAKER.get((state, type(message)), (state, Do.STOP))
+        return state, Action.STOP
+    return NEW_PROCESS_TRANSITIONS.get((state, type(message)), (state, Action.STOP))
--- a/tests/handover/test_beliefs.py
+++ b/tests/handover/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What a process has learned, on its way to its successor."""
+"""Tests of the learned state that an old process passes to a new one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Module:
-    """The module under a steady load, of which one server fails and one is slow."""
+    """The decision module under a steady load, with one failing server."""
 
     def __init__(self, now: int = 1_000_000) -> None:
         self.balancer = Balancer(settings(), 7)
@@ -31,7 +31,7 @@
         return self.balancer.handle(self.now, list(events))
 
     def load(self, requests: int) -> dict[str, int]:
-        """Attempts by server."""
+        """Sends ``requests`` requests; returns the number of attempts by server."""
         sent: dict[str, int] = {}
         for _ in range(requests):
             self.serial += 1
@@ -73,21 +73,21 @@
     a, b = m.balancer, after.balancer
     assert b.capacity.k == pytest.approx(a.capacity.k, rel=0.2) and b.capacity.k > 1000
     assert b.by_name["look"].count == a.by_name["look"].count > 100
-    ill = entry(0).backend
-    assert b.membership.backends[ill].health == a.membership.backends[ill].health < 0.4
-    # It knows the ill server, and refuses nobody while it learns; one that begins from nothing finds out again.
-    anew = Module(m.now)
-    assert after.load(10).get(ill, 0) < anew.load(10).get(ill, 0) and after.refused == 0
+    failing = entry(0).backend
+    assert b.membership.backends[failing].health == a.membership.backends[failing].health < 0.4
+    # It knows the failing server and refuses no request; a process without the state has to find the server again.
+    fresh = Module(m.now)
+    assert after.load(10).get(failing, 0) < fresh.load(10).get(failing, 0) and after.refused == 0
 
 
 def test_a_server_that_has_started_anew_is_another_one() -> None:
     m, beliefs = learned()
     after = Module(m.now)
-    ill = entry(0).backend
+    failing = entry(0).backend
     beliefs.experience.servers[0].started_at_us += 5_000_000
-    assert beliefs.experience.servers[0].id == ill
+    assert beliefs.experience.servers[0].id == failing
     after.handle(Recalled(beliefs.experience))
-    assert after.balancer.membership.backends[ill].health == 1.0
+    assert after.balancer.membership.backends[failing].health == 1.0
 
 
 def test_a_successor_watches_discovery_within_half_a_second() -> None:
@@ -118,7 +118,7 @@
     ("experience.capacity.k", -1, "capacity.k"), ("experience.capacity.linger_us", 0, "capacity.linger_us"),
     ("experience.capacity.k", float("nan"), "capacity.k"), ("experience.capacity.k", 1e300, "capacity.k"),
     ("experience.classes.look", [1, 2], "classes.look"), ("experience.classes.look", [-1] * 7, "classes.look"),
-    ("experience.classes.look", [9, 1, 1, 1e-300, 1, 1, 1], "classes.look"),  # an endless time, and a crash
+    ("experience.classes.look", [9, 1, 1, 1e-300, 1, 1, 1], "classes.look"),  # infinite expected time: crashed
     ("experience.shares.look", [1, 2, 3, None], "shares.look"), ("experience.kinds", [1], "kinds"),
     ("experience.costliest", True, "costliest"), ("experience.servers", {}, "servers"),
     ("experience.servers.0.health", 1.5, "servers.10.0.0.0:80"),
@@ -130,8 +130,8 @@
     ("learned.use_us", None, "use_us"),
 ])
 def test_what_can_not_be_used_is_left_out_by_itself_and_named(path: str, value: Any, left: str) -> None:
-    sound = learned()[1]
-    raw = json.loads(encode(sound))
+    valid = learned()[1]
+    raw = json.loads(encode(valid))
     part: Any = raw
     *names, last = path.split(".") if path != "experience.servers.0.id" else ["experience", "servers", "0", "id"]
     for name in names:
@@ -141,11 +141,11 @@
     assert left in found.left
     if path != "experience":
         assert all(name.split(".")[0] in left or name.startswith("capacity") for name in found.left)
-        # Everything else is as it was.
-        assert (found.known == sound.known) == (left != "known")
-        assert (found.learned == sound.learned) == (not path.startswith("learned"))
-        assert (found.experience == sound.experience) == (not path.startswith("experience"))
-    assert found.experience.classes.keys() <= sound.experience.classes.keys()
+        # All other fields are unchanged.
+        assert (found.known == valid.known) == (left != "known")
+        assert (found.learned == valid.learned) == (not path.startswith("learned"))
+        assert (found.experience == valid.experience) == (not path.startswith("experience"))
+    assert found.experience.classes.keys() <= valid.experience.classes.keys()
 
 
 def test_figures_that_mean_something_only_together_go_together() -> None:
@@ -160,16 +160,16 @@
 
 
 def test_rows_of_a_later_version_may_be_longer_and_names_unknown() -> None:
-    sound = learned()[1]
-    raw = json.loads(encode(sound))
-    raw["experience"]["capacity"]["mood"] = 3.0
+    valid = learned()[1]
+    raw = json.loads(encode(valid))
+    raw["experience"]["capacity"]["unknown"] = 3.0
     raw["experience"]["classes"]["look"].append("new")
-    raw["experience"]["servers"][0]["mood"] = 1
-    raw["moods"] = [1]
-    raw["v"] = 2  # it says itself that this version may still read it
+    raw["experience"]["servers"][0]["unknown"] = 1
+    raw["unknowns"] = [1]
+    raw["v"] = 2  # ``least`` allows this version to read it
     found = decode(json.dumps(raw).encode())
-    assert found.left == [] and found.experience.capacity.pop("mood") == 3.0
-    assert found == sound
+    assert found.left == [] and found.experience.capacity.pop("unknown") == 3.0
+    assert found == valid
     Module().handle(Recalled(found.experience))
 
 
@@ -197,7 +197,7 @@
         wait_for(lambda: node.call("/stats")[1]["targets_disabled"] == 1)
         node.discovery.silent = True
         first = node.second()
-        # Its configuration still lists both as ready; discovery says nothing more.
+        # Its configuration still lists both as ready, and discovery no longer answers.
         assert node.call("/stats")[1]["targets_disabled"] == 1
         first.terminate()
         assert first.wait(15) == 0
--- a/tests/handover/test_upgrades.py
+++ b/tests/handover/test_upgrades.py
@@ -1,4 +1,4 @@
-"""Upgrades of the real program: two processes, and a process that meets a broken one."""
+"""Upgrades of the real program with two processes, and hand-overs to or from a stub process that misbehaves."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class Load:
-    """Clients that ask all the time, each on one connection which it never gives up by itself."""
+    """Clients that send requests continuously, each on one connection that it never closes itself."""
 
     def __init__(self, node: Node, clients: int) -> None:
         self.node = node
         self.stopping = False
         self.statuses: list[int] = []
-        self.ended: list[str] = []
+        self.closed: list[str] = []
         self.threads = [threading.Thread(target=self._ask, args=(i,)) for i in range(clients)]
         for thread in self.threads:
             thread.start()
@@ -38,12 +38,12 @@
             while not self.stopping:
                 try:
                     got = client.ask(("look", "pay")[i % 2], b"x" * (10 if i % 2 else 0))
-                except Exception as error:  # the connection ended: what no upgrade may cause
-                    self.ended.append(repr(error))
+                except Exception as error:  # the connection was closed, which an upgrade must not cause
+                    self.closed.append(repr(error))
                     return
                 self.statuses.append(got.status)
                 if got.headers.get("Connection") == "close":
-                    self.ended.append("told to close")
+                    self.closed.append("asked to close")
                     return
                 time.sleep(0.02)
 
@@ -64,7 +64,7 @@
 
 
 def mb_of(*processes: subprocess.Popen[bytes]) -> float:
-    """Proportional set size: what they share counts once."""
+    """The proportional set size in MiB, in which shared memory counts once."""
     rows = (Path(f"/proc/{p.pid}/smaps_rollup").read_text().splitlines() for p in processes)
     return sum(int(line.split()[1]) for row in rows for line in row if line.startswith("Pss:")) / 1024
 
@@ -77,20 +77,20 @@
 
 def test_ten_upgrades_in_a_row_close_no_connection_and_lose_no_request(node: Node) -> None:
     load = Load(node, 50)
-    most = (0, 0.0)
+    peak = (0, 0.0)
     for _ in range(10):
         asked = len(load.statuses)
         first = node.second()
         for _ in range(5):
-            most = max(most[0], files_of(first, node.process)), max(most[1], mb_of(first, node.process))
+            peak = max(peak[0], files_of(first, node.process)), max(peak[1], mb_of(first, node.process))
         first.send_signal(signal.SIGTERM)
         assert first.wait(PATIENCE) == 0
         wait_for(partial(lambda seen: len(load.statuses) > seen + 50, asked))
     load.stop()
-    assert 60 < most[0] < 1024 and 20 < most[1] < 192
-    assert load.ended == []
+    assert 60 < peak[0] < 1024 and 20 < peak[1] < 192
+    assert load.closed == []
     assert set(load.statuses) == {200}, (Counter(load.statuses), node.log.read_text())
-    assert node.log.read_text().count("connections came") == 10
+    assert node.log.read_text().count("connections taken over") == 10
 
 
 def test_two_processes_stay_within_one_nodes_descriptors() -> None:
@@ -99,13 +99,13 @@
         wait_for(lambda: len(load.statuses) > 300)
         first = node.second()
         end = time.monotonic() + 1.0
-        most = 0
+        peak = 0
         while time.monotonic() < end:
-            most = max(most, files_of(first, node.process))
+            peak = max(peak, files_of(first, node.process))
         first.send_signal(signal.SIGTERM)
         assert first.wait(PATIENCE) == 0
         load.stop()
-        assert load.ended == [] and 120 < most <= 256
+        assert load.closed == [] and 120 < peak <= 256
 
 
 def test_a_request_that_runs_is_answered_by_the_process_that_took_it() -> None:
@@ -117,7 +117,7 @@
         sock.sendall(answer(200, b"%d" % n))
 
     with running(script, ops=True) as node, node.client() as client:
-        client.send(client.head("pay") + client.head("look"))  # and one that waits behind it, unread by nobody
+        client.send(client.head("pay") + client.head("look"))  # the second is pipelined behind it
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 1)
         first = node.second()
         first.send_signal(signal.SIGTERM)
@@ -126,7 +126,7 @@
         hold.set()
         assert [client.read().body for _ in range(2)] == [b"1", b"2"]
         assert first.wait(PATIENCE) == 0
-        assert client.ask().status == 200  # by the second, on the same connection
+        assert client.ask().status == 200  # by the new process, on the same connection
 
 
 def test_a_first_process_that_dies_in_the_middle_of_it_leaves_the_second_alone(node: Node) -> None:
@@ -143,10 +143,10 @@
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 1)
         first = node.second()
         first.kill()
-        assert busy.ended()  # a killed process resets what it has
+        assert busy.ended()  # a killed process resets its connections
         wait_for(lambda: "hand-over: over" in node.log.read_text())
         hold.set()
-        assert idle.ask().status == 200  # it had gone over
+        assert idle.ask().status == 200  # it had been handed over
         node.upgrade()
         assert idle.ask().status == 200
 
@@ -159,7 +159,7 @@
     node.reconfigure(config)
     first.send_signal(signal.SIGHUP)
     wait_for(lambda: "new" in node.call("/stats")[1]["replies"])
-    node.ops = ops  # of the first: each answers for itself
+    node.ops = ops  # of the old process: each process answers for itself
     wait_for(lambda: "new" in node.call("/stats")[1]["replies"])
     assert node.call("/healthcheck") == (503, {"state": "handing over"})
     assert node.call("/healthcheck/fail", "POST")[0] == 200 and node.call("/healthcheck/ok", "POST")[0] == 409
@@ -178,7 +178,7 @@
         sock.sendall(answer())
 
     with running(script, script, ops=True) as node, node.client() as client:
-        client.send(client.head("crew"))  # of which no second copy is sent
+        client.send(client.head("crew"))  # a class that is not hedged
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 1)
         first = node.second()
         first.send_signal(signal.SIGTERM)
@@ -194,8 +194,8 @@
             assert new.ask().status == 200
 
 
-def offered(node: Node) -> socket.socket:
-    """A stand-in for a second process, which has the offer."""
+def stub_with_offer(node: Node) -> socket.socket:
+    """A stub of a new process that has received the offer."""
     link = meeting.connect(place(node), PATIENCE)
     meeting.send(link, Hello("n0"))
     got = meeting.receive(link)
@@ -207,7 +207,7 @@
 def test_a_second_process_that_dies_before_its_yes_changes_nothing(node: Node) -> None:
     with node.client() as client:
         assert client.ask().status == 200
-        offered(node).close()
+        stub_with_offer(node).close()
         wait_for(lambda: "second process is gone" in node.log.read_text())
         assert client.ask().status == 200
         assert node.call("/healthcheck")[0] == 200
@@ -218,7 +218,7 @@
 def test_a_second_process_that_dies_after_its_yes_leaves_the_first_serving_again(node: Node) -> None:
     with node.client() as client:
         assert client.ask().status == 200
-        link = offered(node)
+        link = stub_with_offer(node)
         meeting.send(link, Ready())
         wait_for(lambda: node.call("/healthcheck")[1]["state"] == "handing over")
         link.close()
@@ -226,18 +226,19 @@
         assert node.health() == 200
     with node.client() as new:
         assert new.ask().status == 200
-        node.upgrade()  # and another can take over
+        node.upgrade()  # and a further process can take over
         assert new.ask().status == 200
 
 
 def test_requests_that_came_just_before_the_second_process_said_yes_have_connections(node: Node) -> None:
-    """Room at backends was left for attempts under way only: what had come and was not sent yet was refused."""
+    """Backend connections were reserved only for attempts in progress, so requests received but not yet sent were
+    refused."""
     with contextlib.ExitStack() as stack:
         clients = [stack.enter_context(node.client()) for _ in range(40)]
         assert [client.ask().status for client in clients] == [200] * 40
-        link = offered(node)
-        # The kernel keeps what was ready last time at the head of its list until it is asked again; an answer shows
-        # that it was, and the link comes behind those that send from now on.
+        link = stub_with_offer(node)
+        # epoll keeps descriptors of the last call at the head of its ready list until the next call.  This answer
+        # shows that the next call was made, so the link is reported after the clients that send from now on.
         assert clients[0].ask().status == 200
         with node.stopped():
             for client in clients:
@@ -255,7 +256,7 @@
     link.send(packet)
     assert link.recv(100) == b""
     link.close()
-    silent = meeting.connect(place(node), PATIENCE)  # says nothing: gone after a second
+    silent = meeting.connect(place(node), PATIENCE)  # sends nothing: closed after a second
     assert silent.recv(100) == b""
     silent.close()
     node.upgrade()
@@ -328,7 +329,7 @@
     try:
         path = meeting.place({"TMPDIR": str(long)}, ("127.0.0.1", 80))
         assert path is not None
-        sock = meeting.bind(path)  # beyond the 108 bytes of a socket's address
+        sock = meeting.bind(path)  # longer than the 108 bytes of a socket address
         meeting.connect(path, PATIENCE).close()
         sock.close()
         path.unlink()
--- a/tests/handover/test_without_sockets.py
+++ b/tests/handover/test_without_sockets.py
@@ -1,4 +1,4 @@
-"""What two processes say, who is where, and how they share: without sockets."""
+"""Tests of the hand-over messages, state machines and shares, without sockets."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     decode,
     encode,
 )
-from headspar.handover.sides import Do, Giving, Taking, giver, taker
+from headspar.handover.sides import Action, Giving, NewProcessState, new_process_step, old_process_step
 
-EACH: list[tuple[Message, int]] = [
+MESSAGES: list[tuple[Message, int]] = [
     (Hello("n0"), 0), (Offer(True, 1, 2, 3), 3), (Offer(False, 1, 2, 3), 2), (Ready(), 0), (Clients(5), 5),
     (Held(1, 2, 3), 0), (No("busy"), 0),
 ]
 
 
-@pytest.mark.parametrize(("message", "sockets"), EACH)
+@pytest.mark.parametrize(("message", "sockets"), MESSAGES)
 def test_a_message_comes_back_as_it_was_and_only_with_its_sockets(message: Message, sockets: int) -> None:
     assert decode(encode(message), sockets) == message
     with pytest.raises(MessageError, match="sockets"):
@@ -53,19 +53,19 @@
 
 
 def test_the_way_of_a_whole_upgrade_and_that_nothing_else_is_allowed() -> None:
-    state, do = giver(Giving.ALONE, Hello("n0"))
-    assert (state, do) == (Giving.OFFERED, Do.OFFER)
-    assert giver(state, Ready()) == (Giving.SUCCEEDED, Do.HAND_OVER)
-    assert taker(Taking.ASKED, Offer(False, 0, 0, 0)) == (Taking.TAKEN, Do.TAKE)
-    assert taker(Taking.SERVING, Clients(1)) == (Taking.SERVING, Do.ADOPT)
+    state, action = old_process_step(Giving.ALONE, Hello("n0"))
+    assert (state, action) == (Giving.OFFERED, Action.OFFER)
+    assert old_process_step(state, Ready()) == (Giving.SUCCEEDED, Action.HAND_OVER)
+    assert new_process_step(NewProcessState.ASKED, Offer(False, 0, 0, 0)) == (NewProcessState.TAKEN, Action.TAKE)
+    assert new_process_step(NewProcessState.SERVING, Clients(1)) == (NewProcessState.SERVING, Action.ADOPT)
     allowed = {(Giving.ALONE, Hello), (Giving.OFFERED, Ready)}
-    for here in Giving:
-        for message, _ in EACH:
-            if (here, type(message)) not in allowed:
-                assert giver(here, message) == (Giving.ALONE, Do.STOP)
-    for there in (Taking.ASKED, Taking.TAKEN):
+    for old_state in Giving:
+        for message, _ in MESSAGES:
+            if (old_state, type(message)) not in allowed:
+                assert old_process_step(old_state, message) == (Giving.ALONE, Action.STOP)
+    for new_state in (NewProcessState.ASKED, NewProcessState.TAKEN):
         for early in (Clients(1), Held(1, 1, 1), Ready(), Hello("x")):
-            assert taker(there, early)[1] is Do.STOP
+            assert new_process_step(new_state, early)[1] is Action.STOP
 
 
 @pytest.mark.parametrize("sockets", [256, 384, 1024])
@@ -77,7 +77,7 @@
             other = shares.second(alone, Held(clients, backends, 400))
             held = 2 * shares.OWN_FILES + clients + backends + first.spare + first.callers
             held += other.clients + other.backends + other.spare + other.callers + 2
-            assert held <= sockets + 2 * shares.LEAST
+            assert held <= sockets + 2 * shares.MIN_SHARE
             assert other.requests == 600
 
 
