--- a/headspar/identity.py
+++ b/headspar/identity.py
@@ -1,6 +1,7 @@
-"""What a process is: digests of its program and settings, its generation, and what proves which process it is.
+"""The identity of a process: digests of program and settings, generation, pid, start time and boot id.
 
-A keeper compares these with what it wanted to run, and signals a process only while pid, start and boot agree.
+A keeper compares these with the process that it should run, and signals a process only while pid, start time and boot
+id all match.
 """
 
 from __future__ import annotations
@@ -14,27 +15,30 @@
 
 PACKAGE = Path(__file__).resolve().parent
 SKIPPED = frozenset(("__pycache__", ".git"))
-MOST_FILES = 20_000
-NO_HANDOVER = 4  # the exit status of a start that was to be beside another process only
+MAX_FILES = 20_000
+NO_HANDOVER = 4  # exit status of a process that may start only by hand-over, if none is possible
 
 
 def tree_digest(folder: Path) -> str:
-    """SHA-256 over names and contents of all files below, in hexadecimal; compiled files and links are passed over.
-    ``OSError`` as reading gives it, also where there are more than ``MOST_FILES``."""
+    """SHA-256 over names and contents of all files below ``folder``, in hexadecimal.
+
+    Compiled files and symlinks are skipped.  Raises ``OSError`` if a file cannot be read or there are more than
+    ``MAX_FILES``.
+    """
     files: list[Path] = []
     for at, folders, names in os.walk(folder, onerror=_raise):
         folders[:] = sorted(name for name in folders if name not in SKIPPED)
         files += [Path(at, name) for name in names if not name.endswith(".pyc")]
-        if len(files) > MOST_FILES:
-            raise OSError(f"{folder}: more than {MOST_FILES} files")
-    whole = hashlib.sha256()
+        if len(files) > MAX_FILES:
+            raise OSError(f"{folder}: more than {MAX_FILES} files")
+    digest = hashlib.sha256()
     for path in sorted(files):
         if path.is_symlink() or not path.is_file():
             continue
         name, content = path.relative_to(folder).as_posix().encode(), path.read_bytes()
-        whole.update(b"%d:%b%d:" % (len(name), name, len(content)))
-        whole.update(content)
-    return whole.hexdigest()
+        digest.update(b"%d:%b%d:" % (len(name), name, len(content)))
+        digest.update(content)
+    return digest.hexdigest()
 
 
 def _raise(error: OSError) -> None:
@@ -42,13 +46,13 @@
 
 
 def settings_digest(settings: Any) -> str:
-    """SHA-256 of a settings object in its canonical JSON; the order of keys makes no difference."""
+    """SHA-256 of a settings object in canonical JSON, in hexadecimal; independent of the order of keys."""
     text = json.dumps(settings, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def boot_id() -> str:
-    """The running kernel's own number; empty where it can't be told."""
+    """The boot id of the running kernel; empty if unknown."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -56,8 +60,7 @@
 
 
 def start_ticks(pid: int) -> int:
-    """When a process started, in clock ticks since the boot (proc(5), field 22); 0 if there is none, or it is dead
-    and only not yet waited for."""
+    """The start time of a process, in clock ticks since boot (proc(5), field 22); 0 if there is none, or a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return 0 if fields[0] in ("Z", "X") else int(fields[19])
@@ -66,7 +69,7 @@
 
 
 def resident_mb() -> float:
-    """This process's own resident memory (proc(5), statm); 0 where it can't be told."""
+    """The resident memory of this process in MB (proc(5), statm); 0 if unknown."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, IndexError, ValueError):
@@ -75,7 +78,7 @@
 
 
 def descriptors() -> int:
-    """How many this process holds; 0 where it can't be told."""
+    """The number of descriptors that this process holds; 0 if unknown."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -83,8 +86,10 @@
 
 
 class Identity:
-    """This process as the operators' call ``GET /identity`` shows it.  The digest of the program is taken once, at
-    the start where a keeper has started it, else when it is first asked for."""
+    """The identity of this process, as reported by ``GET /identity``.
+
+    The digest of the program is computed once: at the start if a keeper has started the process, else on first use.
+    """
 
     def __init__(self, name: str, environ: Mapping[str, str], handed_over: bool) -> None:
         self.name, self.handed_over = name, handed_over
@@ -94,7 +99,7 @@
         self.program = tree_digest(PACKAGE) if self.generation else ""
 
     def shown(self, settings: str, servers: int, cold: int) -> dict[str, Any]:
-        """``settings``: the digest in force; ``cold``: listed servers within their ramp."""
+        """The response body; ``settings``: digest in force, ``cold``: number of listed servers in slow start."""
         if not self.program:
             self.program = tree_digest(PACKAGE)
         return {
--- a/headspar/operations/__init__.py
+++ b/headspar/operations/__init__.py
@@ -1,5 +1,6 @@
-"""What the people who run a node do with it: its states, figures, and the calls they make.
+"""The operations API of a node: lifecycle states, metrics and the HTTP endpoints for operators.
 
-Owns the node's state (``lifecycle``), what is counted (``ledger``), which call gets which answer (``calls``)
-and the sockets on which they come (``listener``).  The first three do no I/O.
+``lifecycle`` is the state machine of the process, ``ledger`` holds the counters, ``work`` and ``calls`` build the
+responses of the endpoints, ``reload`` checks a new configuration, and ``listener`` serves the sockets.  All but the
+last do no I/O.
 """
--- a/headspar/operations/calls.py
+++ b/headspar/operations/calls.py
@@ -1,4 +1,4 @@
-"""Which call of the operators gets which answer; without I/O."""
+"""Routes operators' HTTP requests to their handlers; without I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class Reply:
-    """One answer; ``body`` is sent as JSON."""
+    """One HTTP response; ``body`` is sent as JSON, ``allow`` as the ``Allow`` header."""
 
     status: int
     body: dict[str, Any] = field(default_factory=dict)
     allow: str = ""
 
     def encode(self) -> bytes:
-        """The whole message; the connection ends with it."""
+        """Serializes the response, after which the connection closes."""
         body = json.dumps(self.body, separators=(",", ":")).encode()
         allow = f"Allow: {self.allow}\r\n" if self.allow else ""
         head = (
@@ -31,7 +31,7 @@
 
 
 class Calls:
-    """The calls of one process."""
+    """The endpoints of one process."""
 
     def __init__(
         self, lifecycle: Lifecycle, figures: Callable[[], dict[str, Any]],
@@ -43,25 +43,25 @@
             "/stats": ("GET", lambda: Reply(200, self.figures())),
             "/identity": ("GET", lambda: Reply(200, self.identity())),
             "/work": ("GET", lambda: Reply(200, self.work())),
-            "/healthcheck/fail": ("POST", lambda: self._move(Cause.FAIL)),
-            "/healthcheck/ok": ("POST", lambda: self._move(Cause.OK)),
+            "/healthcheck/fail": ("POST", lambda: self._change_state(Cause.FAIL)),
+            "/healthcheck/ok": ("POST", lambda: self._change_state(Cause.OK)),
         }
 
     def answer(self, method: str, target: str) -> Reply:
-        """The answer to a whole call; ``target`` as it stands in the request line."""
-        found = self.table.get(target.partition("?")[0])
-        if found is None:
-            return Reply(404, {"error": "no such call"})
-        allowed, act = found
+        """Returns the response to a complete request; ``target`` as in the request line."""
+        route = self.table.get(target.partition("?")[0])
+        if route is None:
+            return Reply(404, {"error": "no such endpoint"})
+        allowed, handler = route
         if method != allowed:
-            return Reply(405, {"error": f"needs {allowed}"}, allowed)
-        return act()
+            return Reply(405, {"error": f"method not allowed, use {allowed}"}, allowed)
+        return handler()
 
-    def _state(self, status: int) -> Reply:
+    def _state_reply(self, status: int) -> Reply:
         return Reply(status, {"state": self.lifecycle.state.value})
 
     def _healthcheck(self) -> Reply:
-        return self._state(200 if self.lifecycle.ready else 503)
+        return self._state_reply(200 if self.lifecycle.ready else 503)
 
-    def _move(self, cause: Cause) -> Reply:
-        return self._state(200 if self.lifecycle.move(cause) else 409)
+    def _change_state(self, cause: Cause) -> Reply:
+        return self._state_reply(200 if self.lifecycle.move(cause) else 409)
--- a/headspar/operations/ledger.py
+++ b/headspar/operations/ledger.py
@@ -1,7 +1,7 @@
-"""What has become of requests and attempts, counted where they end; without I/O.
+"""Counters of requests and attempts by outcome; without I/O.
 
-At any time ``taken`` = success + overload + error + abandoned + ``concurrent``.  Names of classes come from
-outside: only those that the settings have named get a line, at most ``MOST_CLASSES``.
+At any time ``taken`` = success + overload + error + abandoned + ``concurrent``.  Class names come from outside the
+process, so only those in the settings get their own counters, at most ``MAX_CLASSES``.
 """
 
 from __future__ import annotations
@@ -10,18 +10,22 @@
 from math import ceil, log2
 from typing import Any
 
-MOST_CLASSES = 64  # so that an answer always fits a socket's empty buffer
-REFUSALS = (429, 503)
-# Times to answer, in quarters of an octave of the wanted time: from a sixteenth of it to sixteen times.
+MAX_CLASSES = 64  # so that a response always fits an empty socket buffer
+REFUSAL_STATUSES = (429, 503)
+# Buckets of the time to answer relative to the latency target, a quarter of an octave wide, from 1/16 to 16 times it.
 PER_OCTAVE = 4
 OCTAVES = 4  # on each side
 BUCKETS = 2 * OCTAVES * PER_OCTAVE + 1
 
 
 class Counts:
-    """The ends of one class's requests, as numbers of requests; of those served how many came ``late``, after the
-    wanted time, and how long they took as shares of it: bucket i holds those up to 2 ** ((i - 16) / 4); ``quarters``
-    is the sum of these exponents, in quarters of an octave above the first bucket's."""
+    """The numbers of one class's requests by outcome.
+
+    Of the served requests, ``late`` counts those that took longer than the latency target.  ``times`` is the
+    histogram of their time as a ratio of the target: bucket i holds ratios up to 2 ** ((i - 16) / 4).
+    ``quarters`` is the sum of the base-2 logarithms of the ratios, in quarters of an octave above the first
+    bucket's bound.
+    """
 
     __slots__ = ("success", "overload", "error", "late", "times", "quarters")
 
@@ -31,7 +35,7 @@
         self.quarters = 0.0
 
     def served(self, share: float) -> None:
-        """One was, in that share of the wanted time."""
+        """Counts a served request; ``share`` is its time as a ratio of the latency target."""
         self.success += 1
         self.late += share > 1.0
         quarters = PER_OCTAVE * (log2(share) + OCTAVES) if share > 0 else 0.0
@@ -39,57 +43,59 @@
         self.quarters += quarters
         self.times[ceil(quarters)] += 1
 
-    def shown(self) -> dict[str, int]:
+    def as_dict(self) -> dict[str, int]:
+        """The counters as ``GET /stats`` reports them."""
         return {"success": self.success, "overload": self.overload, "error": self.error}
 
 
 class Ledger:
-    """All figures of one process, from 0 at its start."""
+    """All counters of one process, from 0 at its start."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
         self.classes: dict[str, Counts] = {}
-        self.others = Counts()  # of classes that nobody has named
+        self.others = Counts()  # of classes that are not in the settings
         self.taken = self.abandoned = self.ended = 0
         self.dispatches = 0
-        self.broken = 0  # attempts at servers that drain, begun later than the rule allows
-        self.connections = self.calls = self.datagrams = 0  # to servers, begun; to discovery; to peers
+        self.broken = 0  # attempts sent to draining servers later than the rule allows
+        self.connections = self.calls = self.datagrams = 0  # begun to servers; to discovery; to peers
         self.reload_success = self.reload_failure = 0
         self.name(classes)
 
     def name(self, classes: Iterable[str]) -> None:
-        """The settings name these classes; what earlier ones counted stays."""
+        """Adds counters for these classes of the settings; earlier classes keep theirs."""
         for cls in classes:
-            if cls not in self.classes and len(self.classes) < MOST_CLASSES:
+            if cls not in self.classes and len(self.classes) < MAX_CLASSES:
                 self.classes[cls] = Counts()
 
     @property
     def concurrent(self) -> int:
-        """Requests taken and not yet ended."""
+        """The number of requests accepted and not yet ended."""
         return self.taken - self.ended
 
     def took(self) -> None:
+        """Counts a request that was accepted."""
         self.taken += 1
 
     def answered(self, cls: str, status: int, share: float = 0.0) -> None:
-        """The final answer to a request that was taken; ``share``: its time, of the wanted time."""
+        """Counts the final answer to a request; ``share``: its time as a ratio of the latency target."""
         self.ended += 1
         counts = self.classes.get(cls, self.others)
         if status == 200:
             counts.served(share)
-        elif status in REFUSALS:
+        elif status in REFUSAL_STATUSES:
             counts.overload += 1
         else:
             counts.error += 1
 
     def left(self) -> None:
-        """The client of a request that was taken has gone before its answer."""
+        """Counts a request whose client disconnected before the answer."""
         self.ended += 1
         self.abandoned += 1
 
     def figures(self, targets: int, disabled: int) -> dict[str, Any]:
-        """As ``GET /stats`` shows them."""
+        """The counters as ``GET /stats`` reports them."""
         return {
-            "replies": {name: counts.shown() for name, counts in self.classes.items()},
+            "replies": {name: counts.as_dict() for name, counts in self.classes.items()},
             "dispatches": self.dispatches, "concurrent": self.concurrent,
             "targets": targets, "targets_disabled": disabled,
             "reload_success": self.reload_success, "reload_failure": self.reload_failure,
--- a/headspar/operations/lifecycle.py
+++ b/headspar/operations/lifecycle.py
@@ -1,6 +1,6 @@
-"""The states of a node's process, with every transition in one table; without I/O.
+"""The lifecycle state machine of a node's process, with all transitions in one table; without I/O.
 
-``/healthz``, ``/healthcheck``, SIGTERM, a drain and an upgrade all read and move this one state.
+``/healthz``, ``/healthcheck``, SIGTERM, drains and upgrades all use this one state.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 
 
 class State(Enum):
-    """Where a process stands."""
+    """The state of a process."""
 
     STARTING = "starting"
     READY = "ready"
-    DRAINING = "draining"  # clients are sent away until the second call
-    HANDING_OVER = "handing over"  # a successor serves; connections go over to it
-    LEAVING = "handing over, ending"  # and SIGTERM has come
-    ENDING = "ending"  # SIGTERM has come, and there is no successor
+    DRAINING = "draining"  # connections of clients are closed after their answers, until ``/healthcheck/ok``
+    HANDING_OVER = "handing over"  # a new process serves; connections are handed over to it
+    LEAVING = "handing over, ending"  # as above, after SIGTERM
+    ENDING = "ending"  # after SIGTERM, without a new process
 
 
 class Cause(Enum):
-    """What moves it."""
+    """The cause of a transition."""
 
     STARTED = "started"
-    FAIL = "fail"  # the operators' first call
-    OK = "ok"  # their second
-    SUCCEEDED = "succeeded"  # a second process has said yes
-    ALONE = "alone"  # that process is gone again
+    FAIL = "fail"  # ``/healthcheck/fail``
+    OK = "ok"  # ``/healthcheck/ok``
+    SUCCEEDED = "succeeded"  # a new process has reported that it serves
+    ALONE = "alone"  # that process has ended
     TERM = "term"
 
 
 S, C = State, Cause
-# What is missing is not allowed: the state stays, and a caller is told no.
+# A transition that is not listed is rejected, and the state does not change.
 TABLE: dict[tuple[State, Cause], State] = {
     (S.STARTING, C.STARTED): S.READY,
     (S.STARTING, C.TERM): S.ENDING,
@@ -44,7 +44,7 @@
     (S.DRAINING, C.OK): S.READY,
     (S.DRAINING, C.SUCCEEDED): S.HANDING_OVER,
     (S.DRAINING, C.TERM): S.ENDING,
-    (S.HANDING_OVER, C.FAIL): S.HANDING_OVER,  # they are away already
+    (S.HANDING_OVER, C.FAIL): S.HANDING_OVER,  # connections are already being handed over
     (S.HANDING_OVER, C.ALONE): S.READY,
     (S.HANDING_OVER, C.TERM): S.LEAVING,
     (S.LEAVING, C.FAIL): S.LEAVING,
@@ -58,14 +58,14 @@
 
 
 class Lifecycle:
-    """The state of this process; ``watchers`` are told of each change."""
+    """Holds the state of this process and calls ``watchers`` on each change."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
         self.watchers: list[Callable[[State], None]] = []
 
     def move(self, cause: Cause) -> bool:
-        """Whether ``cause`` is allowed now; if so the state is what the table says."""
+        """Makes the transition for ``cause``; returns False if the table does not allow it."""
         after = TABLE.get((self.state, cause))
         if after is None:
             return False
@@ -77,20 +77,20 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients may be sent here: the answer to ``/healthz`` and ``/healthcheck``."""
+        """Whether load balancers may send clients here, as ``/healthz`` and ``/healthcheck`` report."""
         return self.state is State.READY
 
     @property
     def sends_away(self) -> bool:
-        """Whether each answer closes its connection."""
+        """Whether each connection is closed after its answer."""
         return self.state is State.DRAINING or self.state is State.ENDING
 
     @property
     def hands_over(self) -> bool:
-        """Whether a connection between two requests goes over to a successor."""
+        """Whether connections between two requests are handed over to a new process."""
         return self.state is State.HANDING_OVER or self.state is State.LEAVING
 
     @property
     def ending(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM has been received."""
         return self.state is State.ENDING or self.state is State.LEAVING
--- a/headspar/operations/listener.py
+++ b/headspar/operations/listener.py
@@ -1,8 +1,8 @@
-"""The operators' sockets: one call to a connection, answered in the turn in which it is whole.
+"""The HTTP listener for operators: one request per connection, answered in the loop iteration that completes it.
 
-At most ``MOST`` connections, in descriptors that clients can't use up.  One more takes the place of the oldest
-that has no whole call, so callers that hold a connection keep nobody out.  A few are accepted in a turn and each
-is read at once: a burst of callers with nothing to say must not push out one whose call is there to be read.
+At most ``MOST`` connections are open, in descriptors reserved from clients.  A further connection replaces the oldest
+without a complete request, so idle connections lock nobody out.  A few connections are accepted per loop iteration
+and each is read at once, so that a burst of idle connections does not displace one whose request can be read.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from headspar.operations.calls import Calls, Reply
 
-MOST = 16
-IN_A_TURN = 4
+MOST = 16  # connections
+ACCEPTS_PER_TURN = 4
 BACKLOG = 1024
-MAX_CALL = 8 * 1024  # bytes of a call, its body too
-PATIENCE_S = 5.0  # for a whole call
-LINGER_S = 1.0  # for the caller's end after the answer
+MAX_REQUEST_BYTES = 8 * 1024  # with its body
+REQUEST_TIMEOUT_S = 5.0  # for a complete request
+CLOSE_TIMEOUT_S = 1.0  # for the peer to close after the response
 
 
-class Caller:
+class OperatorConnection:
     """One connection of an operator."""
 
     __slots__ = ("owner", "sock", "parser", "url", "size", "answered", "timer")
@@ -35,12 +35,13 @@
         self.url = b""
         self.size = 0
         self.answered = False
-        self.timer = owner.loop.call_later(PATIENCE_S, self._overdue)
+        self.timer = owner.loop.call_later(REQUEST_TIMEOUT_S, self._request_timeout)
         owner.loop.add_reader(sock.fileno(), self.read)
 
     def read(self) -> None:
+        """Reads what has arrived; answers a complete or invalid request."""
         try:
-            data = self.sock.recv(MAX_CALL)
+            data = self.sock.recv(MAX_REQUEST_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -48,20 +49,20 @@
             return
         if not data:
             self.close()
-        elif not self.answered:  # what follows a call is dropped
-            self._feed(data)
+        elif not self.answered:  # bytes after the request are dropped
+            self._parse(data)
 
-    def _feed(self, data: bytes) -> None:
+    def _parse(self, data: bytes) -> None:
         self.size += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # the call stands; no other protocol is offered
+            pass  # the request is answered; no other protocol is offered
         except Exception:
-            self._put(Reply(400, {"error": "no HTTP/1.1 call"}))
+            self._respond(Reply(400, {"error": "not a valid HTTP/1.1 request"}))
             return
-        if self.size > MAX_CALL:
-            self._put(Reply(431, {"error": f"a call holds at most {MAX_CALL} bytes"}))
+        if self.size > MAX_REQUEST_BYTES:
+            self._respond(Reply(431, {"error": f"request longer than {MAX_REQUEST_BYTES} bytes"}))
 
     def on_url(self, url: bytes) -> None:
         self.url += url
@@ -69,61 +70,61 @@
     def on_message_complete(self) -> None:
         if not self.answered:
             method = self.parser.get_method().decode("latin-1")
-            self._put(self.owner.calls.answer(method, self.url.decode("latin-1")))
+            self._respond(self.owner.calls.answer(method, self.url.decode("latin-1")))
 
-    def _put(self, reply: Reply) -> None:
+    def _respond(self, reply: Reply) -> None:
         if self.answered:
             return
         self.answered = True
         self.timer.cancel()
         try:
-            self.sock.send(reply.encode())  # it fits an empty buffer whole
-            # Our side ends; the caller's end is waited for, as closing on unread bytes would take the answer along.
+            self.sock.send(reply.encode())  # it always fits an empty socket buffer
+            # Half-close and wait for the peer: a close with unread bytes would send a reset, and lose the response.
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
             return
-        self.timer = self.owner.loop.call_later(LINGER_S, self.close)
+        self.timer = self.owner.loop.call_later(CLOSE_TIMEOUT_S, self.close)
 
-    def _overdue(self) -> None:
-        self._put(Reply(408, {"error": "no whole call came"}))
+    def _request_timeout(self) -> None:
+        self._respond(Reply(408, {"error": "request incomplete"}))
 
     def close(self) -> None:
-        """End it; the table and the loop forget it."""
-        if self.owner.callers.pop(self, False) is None:
+        """Closes the connection and removes it from the table and the loop."""
+        if self.owner.connections.pop(self, False) is None:
             self.timer.cancel()
             self.owner.loop.remove_reader(self.sock.fileno())
             self.sock.close()
 
 
 class Listener:
-    """The operators' listener on a bound socket."""
+    """Accepts operators' connections on a bound socket; ``most`` limits how many are open."""
 
     def __init__(self, calls: Calls, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self.calls, self.loop, self.sock = calls, loop, sock
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.connections: dict[OperatorConnection, None] = {}  # oldest first
         self.most = MOST
         sock.listen(BACKLOG)
         loop.add_reader(sock.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(IN_A_TURN):
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.sock.accept()
             except OSError:
                 return
             sock.setblocking(False)
-            while len(self.callers) >= self.most:
-                oldest = next(iter(self.callers))
-                next((c for c in self.callers if not c.answered), oldest).close()
-            caller = Caller(self, sock)
-            self.callers[caller] = None
-            caller.read()
+            while len(self.connections) >= self.most:
+                oldest = next(iter(self.connections))
+                next((c for c in self.connections if not c.answered), oldest).close()
+            connection = OperatorConnection(self, sock)
+            self.connections[connection] = None
+            connection.read()
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stops listening and closes all connections."""
         self.loop.remove_reader(self.sock.fileno())
         with contextlib.suppress(OSError):
             self.sock.close()
-        for caller in list(self.callers):
-            caller.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/headspar/operations/work.py
+++ b/headspar/operations/work.py
@@ -1,6 +1,7 @@
-"""What a process has done since its start, as ``GET /work`` shows it to who compares nodes; without I/O.
+"""Builds the response of ``GET /work``, by which the rollout controller compares nodes; without I/O.
 
-Running counts: a reader takes differences, so that a call that was lost costs nothing.  ``/stats`` keeps its form.
+The counters are cumulative since the start of the process: a reader takes differences, so a lost response loses no
+data.  The format of ``/stats`` is separate and stays as it is.
 """
 
 from __future__ import annotations
@@ -13,33 +14,37 @@
 
 
 def counts(ledger: Ledger, cpu_ms: float) -> dict[str, float]:
-    """Requests ended with an answer (``taken``) and what became of them, in all and, behind a colon, by class;
-    ``quarters`` of an octave that those ``served`` took, above a sixteenth of the wanted time; attempts and
-    handshakes begun, attempts that broke a rule; processor time in ms."""
+    """The cumulative counters of a process.
+
+    ``taken`` counts answered requests, and the other names their outcomes, in total and by class as ``name:class``.
+    ``quarters`` sums the time of the ``served`` requests, as quarters of an octave above 1/16 of the latency target.
+    ``attempts`` and ``handshakes`` count those begun, ``broken`` the attempts that violated a rule; ``cpu_ms`` is
+    processor time.
+    """
     rows = {**ledger.classes, "": ledger.others}
     out: dict[str, float] = dict.fromkeys(
         ("taken", "in_time", "late", "refused", "failed", "served", "quarters"), 0.0)
-    for name, of in rows.items():
-        taken = of.success + of.overload + of.error
-        for key, value in (("taken", taken), ("in_time", of.success - of.late), ("late", of.late),
-                           ("refused", of.overload), ("failed", of.error),
-                           ("served", of.success), ("quarters", of.quarters)):
+    for name, c in rows.items():
+        taken = c.success + c.overload + c.error
+        for key, value in (("taken", taken), ("in_time", c.success - c.late), ("late", c.late),
+                           ("refused", c.overload), ("failed", c.error),
+                           ("served", c.success), ("quarters", c.quarters)):
             out[key] += value
         if name and taken:
-            out |= {f"taken:{name}": taken, f"refused:{name}": of.overload, f"failed:{name}": of.error}
+            out |= {f"taken:{name}": taken, f"refused:{name}": c.overload, f"failed:{name}": c.error}
     out["quarters"] = round(out["quarters"], 1)
     return out | {"attempts": ledger.dispatches, "handshakes": ledger.connections, "broken": ledger.broken,
                   "cpu_ms": round(cpu_ms, 1)}
 
 
 def times(ledger: Ledger) -> dict[str, Any]:
-    """By class, how many were served within each share of the wanted time; classes that served none are left out."""
+    """The histogram of the time to answer by class (see ``Counts``); classes that served none are left out."""
     return {"per_octave": PER_OCTAVE, "octaves": OCTAVES,
-            "classes": {name: of.times for name, of in ledger.classes.items() if of.success}}
+            "classes": {name: c.times for name, c in ledger.classes.items() if c.success}}
 
 
 def shown(ledger: Ledger, process: str, generation: str, up_s: float, cpu_ms: float, gauges: dict[str, float],
           ) -> dict[str, Any]:
-    """The whole answer.  ``process`` names this one and no other; ``up_s`` by its own monotonic clock."""
+    """The response body.  ``process`` is unique to this process; ``up_s`` is its age by its monotonic clock."""
     return {"version": VERSION, "process": process, "generation": generation, "up_s": round(up_s, 3),
             "counts": counts(ledger, cpu_ms), "gauges": gauges, "times": times(ledger)}
--- a/headspar/recorder/__init__.py
+++ b/headspar/recorder/__init__.py
@@ -1,6 +1,5 @@
-"""The flight recorder: what a node believed of its servers and what it decided, one line for each Δt.
+"""The flight recorder: a log of a node's estimates for its servers and of its decisions, one line per Δt.
 
-``line`` owns the form of the file, without I/O; ``file`` writes it within a bounded size and reads it again.  What is
-believed is the decision module's (``interface.Belief``); nothing here decides anything.  Off unless the operator's
-file names a file.
+``line`` defines the format, without I/O; ``file`` writes files of bounded size and reads them.  The estimates come
+from the decision module (``interface.Belief``).  The recorder is off unless the operator's file names a file.
 """
--- a/headspar/recorder/line.py
+++ b/headspar/recorder/line.py
@@ -1,15 +1,15 @@
-"""The form of a flight record, without I/O: a line of JSON for each Δt, whole numbers in a fixed order.
+"""The format of a flight record, without I/O: one line of JSON per Δt, integers in a fixed order.
 
     {"headspar":"flight","version":2,"node":"n0","began":5,"wall":7}   first in each file
-    {"servers":["s-1","s-2"]}                                          whenever the servers that follow are others
+    {"servers":["s-1","s-2"]}                                          before rows with other servers
     [at, K, ACC, sound, carried, T, late, firsts, repeats, refused, failed, served, attempts, retries,
      connections, calls, datagrams, [server...]]
 
-``at`` and ``began`` (the process's start) in microseconds of the node's clock, ``wall`` what turns them into Unix
-time; K, carried and Nm in microseconds of work; ACC, sound, late, retries, health and warm in thousandths; T in
-milliseconds; counts since the line before.  ``connections`` to servers begun, ``calls`` to discovery, ``datagrams``
-to peers.  A server is [health, Nm, out, warm, usable].  Version 1 has neither ``began`` and ``wall`` nor those three;
-it is read.
+``at`` and ``began`` (the start of the process) are in microseconds of the node's clock, and ``wall`` is the offset
+that converts them to Unix time.  K, carried and Nm are in microseconds of work; ACC, sound, late, retries, health and
+warm in thousandths; T in milliseconds.  Counts are increments since the previous line: ``connections`` begun to
+servers, ``calls`` to discovery, ``datagrams`` to peers.  A server is [health, Nm, out, warm, usable].  Version 1,
+which has neither ``began`` and ``wall`` nor the last three counts, can still be read.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 VERSION = 2
 COUNTS = ("firsts", "repeats", "refused", "failed", "served", "attempts")
-HOST = ("connections", "calls", "datagrams")  # what the host did, beside the module's own counts
-FIELDS = {1: 15, 2: 18}  # of a row, by version
+HOST = ("connections", "calls", "datagrams")  # counts of the host, beside those of the decision module
+FIELDS = {1: 15, 2: 18}  # number of fields in a row by version
 
 
 class LineError(ValueError):
-    """A line that is no part of a flight record."""
+    """A line that is not part of a valid flight record; the text says why."""
 
 
 @dataclass(slots=True)
 class ServerRow:
-    """One server at one time; ``health`` and ``warm`` as shares, ``nm`` and ``out`` in us of work."""
+    """The estimates for one server: ``health`` and ``warm`` from 0 to 1, ``nm`` and ``out`` in us of work."""
 
     health: float
     nm: int
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """One Δt; ``counts`` is what happened since the row before, by name of ``COUNTS``."""
+    """The record of one Δt; ``counts`` (of ``COUNTS``) and ``host`` (of ``HOST``) are increments since the last."""
 
     at_us: int
     k: int
@@ -58,13 +58,13 @@
 
     @property
     def capacity(self) -> float:
-        """Work that the node believes its servers carry from it, us a second: K for each sound server, within
-        the horizon that sent work is counted over."""
+        """The estimated capacity of the servers for this node, us of work per second: K for each healthy server per
+        horizon over which sent work is counted."""
         return self.k * self.sound / max(1, self.horizon_us) * 1e6
 
 
 class Writer:
-    """Turns beliefs into lines; counts in them run on, lines hold what is new."""
+    """Encodes beliefs as lines; converts their cumulative counts to increments."""
 
     def __init__(self, node: str, began: int = 0, wall: int = 0) -> None:
         self.node, self.began, self.wall = node, began, wall
@@ -73,13 +73,13 @@
         self.done_before = (0, 0, 0)
 
     def head(self) -> str:
-        """The first line of a file; the servers are named again after it."""
+        """The first line of a file, after which the servers are named again."""
         self.names = []
         head = {"headspar": "flight", "version": VERSION, "node": self.node, "began": self.began, "wall": self.wall}
         return json.dumps(head, separators=(",", ":"))
 
     def names_line(self, b: Belief) -> str | None:
-        """The servers, if they are others than those named last."""
+        """The line that names the servers; None if they are the same as in the last one."""
         names = [s.id for s in b.servers]
         if names == self.names:
             return None
@@ -87,23 +87,22 @@
         return json.dumps({"servers": names}, separators=(",", ":"))
 
     def row_line(self, b: Belief, done: tuple[int, int, int] = (0, 0, 0)) -> str:
-        """What is believed, and what the host has done since its start (as ``HOST`` names it); ``names_line`` comes
-        before it."""
-        now = {name: getattr(b, name) for name in COUNTS}
-        new = [now[name] - self.before[name] for name in COUNTS]
+        """The line of one Δt, to follow ``names_line``; ``done``: cumulative counts in the order of ``HOST``."""
+        totals = {name: getattr(b, name) for name in COUNTS}
+        increments = [totals[name] - self.before[name] for name in COUNTS]
         host = [a - b for a, b in zip(done, self.done_before, strict=True)]
-        self.before = now
+        self.before = totals
         self.done_before = done
         row = [
             b.at_us, round(b.k), round(1000 * b.acc), round(1000 * b.sound), round(b.carried),
-            round(b.horizon_us / 1000), round(1000 * b.late), *new, round(1000 * b.retries), *host,
+            round(b.horizon_us / 1000), round(1000 * b.late), *increments, round(1000 * b.retries), *host,
             [[round(1000 * s.health), round(s.nm), s.out, round(1000 * s.warm), int(s.usable)] for s in b.servers],
         ]
         return json.dumps(row, separators=(",", ":"))
 
 
 class Reader:
-    """Takes lines in their order and gives rows; raises ``LineError`` with what is wrong."""
+    """Decodes the lines of a file in order."""
 
     def __init__(self) -> None:
         self.node = ""
@@ -113,24 +112,25 @@
         self.begun = False
 
     def take(self, text: str) -> Row | None:
+        """Returns the row of a line, None for a line without one; raises ``LineError`` for an invalid line."""
         try:
             raw = json.loads(text)
         except ValueError as error:
             raise LineError(f"no JSON: {error}") from None
         if isinstance(raw, dict):
-            self._named(raw)
+            self._take_header(raw)
             return None
         if not self.begun:
             raise LineError("no flight record: its first line is missing")
         return self._row(raw)
 
-    def _named(self, raw: dict[str, object]) -> None:
+    def _take_header(self, raw: dict[str, object]) -> None:
         if raw.get("headspar") == "flight":
             version, began, wall = raw.get("version"), raw.get("began", 0), raw.get("wall", 0)
             if not isinstance(version, int) or version not in FIELDS:
                 raise LineError(f"version {version!r} cannot be read, only {' and '.join(map(str, FIELDS))}")
             if not isinstance(began, int) or not isinstance(wall, int):
-                raise LineError("began and wall are whole numbers")
+                raise LineError("began and wall must be whole numbers")
             self.node, self.begun, self.names = str(raw.get("node", "")), True, []
             self.version, self.began, self.wall = version, began, wall
             return
@@ -142,15 +142,15 @@
     def _row(self, raw: object) -> Row:
         fields = FIELDS[self.version]
         if not isinstance(raw, list) or len(raw) != fields or not isinstance(raw[-1], list):
-            raise LineError(f"a row has {fields} fields, the last a list")
+            raise LineError(f"a row must have {fields} fields, the last a list")
         if not all(isinstance(x, int) and not isinstance(x, bool) for x in raw[:-1]):
-            raise LineError("a row holds whole numbers")
+            raise LineError("the fields of a row must be whole numbers")
         if len(raw[-1]) != len(self.names):
             raise LineError(f"{len(raw[-1])} servers in a row, {len(self.names)} are named")
         servers = {}
         for name, s in zip(self.names, raw[-1], strict=True):
             if not isinstance(s, list) or len(s) != 5 or not all(isinstance(x, int) for x in s):
-                raise LineError("a server is five whole numbers")
+                raise LineError("a server must have five whole numbers")
             servers[name] = ServerRow(s[0] / 1000, s[1], s[2], s[3] / 1000, bool(s[4]))
         return Row(raw[0], raw[1], raw[2] / 1000, raw[3] / 1000, raw[4], raw[5] * 1000, raw[6] / 1000,
                    dict(zip(COUNTS, raw[7:13], strict=True)), raw[13] / 1000, servers,
--- a/tests/operations/test_calls_on_sockets.py
+++ b/tests/operations/test_calls_on_sockets.py
@@ -1,4 +1,4 @@
-"""The operators' listener, the figures and a drain, on the real program."""
+"""Tests of the operators' listener, the metrics and drains with the real program."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def raw(node: Node, data: bytes) -> bytes:
-    """What comes back for these bytes, until the node ends the connection."""
+    """Sends ``data``; returns what is received until the node closes the connection."""
     assert node.ops is not None
     with socket.create_connection(node.ops, PATIENCE) as sock:
         sock.sendall(data)
@@ -39,7 +39,7 @@
     assert node.call("/stats", "POST")[0] == 405
     assert raw(node, b"\x16\x03\x01 what\r\n\r\n").startswith(b"HTTP/1.1 400 ")
     assert raw(node, b"GET /stats HTTP/1.1\r\nX: " + b"x" * 9000).startswith(b"HTTP/1.1 431 ")
-    # One call to a connection: what is pipelined behind it gets nothing.
+    # One request per connection: a pipelined one gets no response.
     twice = raw(node, b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n" * 2)
     assert twice.count(b"HTTP/1.1 ") == 1
 
@@ -54,7 +54,7 @@
     raw["settings"]["policy_limits"]["try_limit"] = 3
     node.reconfigure(raw)
     wait_for(lambda: node.call("/identity")[1]["settings"] == settings_digest(raw["settings"]))
-    node.reconfigure("{")  # one that is no good changes nothing
+    node.reconfigure("{")  # an invalid configuration changes nothing
     wait_for(lambda: node.call("/stats")[1]["reload_failure"] == 1)
     assert node.call("/identity")[1]["settings"] == settings_digest(raw["settings"])
     node.reconfigure(raw)
@@ -83,7 +83,7 @@
 
 def test_a_start_that_wants_the_hand_over_or_nothing_listens_nowhere_without_it(node: Node) -> None:
     node.env["HEADSPAR_BESIDE"] = "only"
-    node.upgrade()  # there is one to take over from
+    node.upgrade()  # the hand-over succeeds
     with node.client() as client:
         assert client.ask().status == 200
     node.env["TMPDIR"] += "/elsewhere"
@@ -147,12 +147,12 @@
         slow = node.client()
         slow.send(slow.head("look"))
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 1)
-        slow.close()  # a client that leaves is in no class's figures
+        slow.close()  # a disconnected client is not counted in any class
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 0)
         time.sleep(0.6)
         assert client.ask("crew").status == 502
         assert len(client.ask("look").body) == 100_000
-        assert client.ask_with({"X-Budget": "soon"}).status == 400  # never taken
+        assert client.ask_with({"X-Budget": "soon"}).status == 400  # rejected before it is counted
         status, stats = node.call("/stats")
         assert status == 200
         assert stats["replies"] == {
@@ -183,22 +183,22 @@
     idle, busy = node.client(), node.client()
     assert idle.ask().status == busy.ask().status == 200
     assert node.call("/healthcheck/fail", "POST")[0] == 200
-    began = time.monotonic()
+    started = time.monotonic()
     assert node.health() == 503 and node.call("/healthcheck")[0] == 503
-    last = busy.ask()  # still served, on its connection's last answer
+    last = busy.ask()  # still served, as the last request of its connection
     assert last.status == 200 and last.headers["Connection"] == "close" and busy.ended()
     assert idle.ended()
-    # The bench's own limit is 4 s, of which the last 2 s may bring no request.
-    assert time.monotonic() - began < 2.0
-    # A new connection is served all the same: it may have been dealt out before the no was heard.
+    # The benchmark's limit for a drain is 4 s, and no request may arrive in the last 2 s of it.
+    assert time.monotonic() - started < 2.0
+    # A new connection is still served: the load balancer may have assigned it before it saw the failing check.
     with node.client() as late:
         assert late.ask().status == 200 and late.ended()
-    assert node.call("/healthcheck/fail", "POST")[0] == 200  # again changes nothing
+    assert node.call("/healthcheck/fail", "POST")[0] == 200  # repeating it changes nothing
     assert node.call("/healthcheck/ok", "POST")[0] == 200
     assert node.health() == 200
     with node.client() as back:
         assert back.ask().status == 200 and back.ask().status == 200
-        time.sleep(0.5)  # longer than idle ones stand in a drain
+        time.sleep(0.5)  # longer than idle connections last in a drain
         assert back.ask().status == 200
 
 
@@ -224,7 +224,7 @@
 def test_a_request_that_crosses_the_close_of_its_idle_connection_is_served(node: Node) -> None:
     with node.client() as client:
         assert client.ask().status == 200
-        time.sleep(1.2)  # as long as a drain lets stand
+        time.sleep(1.2)  # as long as a drain keeps idle connections
         assert node.ops is not None
         with node.stopped():
             operator = socket.create_connection(node.ops, PATIENCE)
@@ -257,14 +257,14 @@
 
 
 def test_ten_thousand_calls_cost_clients_no_more_than_two_points_of_what_is_served() -> None:
-    """The same requests without calls and beside a flood of them; the shares served in time are compared."""
+    """Compares the share of requests served in time without operators' calls and during a flood of them."""
     with running(None, ops=True) as node, contextlib.ExitStack() as stack:
         clients = [stack.enter_context(node.client()) for _ in range(4)]
 
         def served() -> float:
             return sum(clients[i % 4].ask().status == 200 for i in range(400)) / 400
 
-        alone = served()
+        baseline = served()
         statuses: list[int] = []
 
         def flood() -> None:
@@ -274,12 +274,12 @@
         threads = [threading.Thread(target=flood) for _ in range(4)]
         for thread in threads:
             thread.start()
-        beside = [served()]
+        during_flood = [served()]
         while any(thread.is_alive() for thread in threads):
-            beside.append(served())
+            during_flood.append(served())
         for thread in threads:
             thread.join()
         assert statuses == [200] * 10_000
-        assert min(beside) >= alone - 0.02 and alone > 0.98
+        assert min(during_flood) >= baseline - 0.02 and baseline > 0.98
         figures = node.call("/stats")[1]["replies"]["look"]
-        assert figures["success"] + figures["overload"] + figures["error"] == 400 * (1 + len(beside))
+        assert figures["success"] + figures["overload"] + figures["error"] == 400 * (1 + len(during_flood))
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: what is taken, what is turned down, and what is under way."""
+"""Tests of reloading settings at SIGHUP: validation, and the effect on requests in progress and learned state."""
 
 from __future__ import annotations
 
@@ -35,29 +35,29 @@
 # ------------------------------------------------------------ without sockets
 
 
-def whole() -> dict[str, Any]:
+def configuration() -> dict[str, Any]:
     return {"seed": "1", "limits": {"cores": 1}, "known": {}, "discovery": "x:1", "settings": raw_settings()}
 
 
 def test_a_file_that_lacks_a_key_of_the_one_in_force_is_short_of_it() -> None:
-    before = shape(whole())
-    assert missing(before, shape(whole())) is None
+    before = shape(configuration())
+    assert missing(before, shape(configuration())) is None
     for path in ("discovery", "limits.cores", "settings.az", "settings.invariants.fall_us",
                  "settings.policy_limits.cancel"):
-        after = whole()
+        after = configuration()
         *parts, last = path.split(".")
         part = after
         for name in parts:
             part = part[name]
         del part[last]
         assert missing(before, shape(after)) == path
-    after = whole()
+    after = configuration()
     del after["settings"]["classes"][1]["worth"]
     assert missing(before, shape(after)) == "settings.classes[].worth"
-    more = whole()
+    more = configuration()
     more["more"] = 1
     more["settings"]["classes"] = more["settings"]["classes"][:1]
-    del more["settings"]["classes"][0]["window_us"]  # a class that is safe to repeat has none
+    del more["settings"]["classes"][0]["window_us"]  # not needed by a class that is safe to repeat
     assert missing(before, shape(more)) is None
 
 
@@ -65,10 +65,10 @@
     pay = RequestClass("look", 1, 1, effect=Effect.DEDUP, window_us=9)
     intake = Intake(settings(classes=[LOOK]))
     intake.change(settings(classes=[pay]), 1000)
-    assert intake.objection("look", False, False, lambda: 1000 + GRACE_US - 1) is None  # as it was: GET, no key
+    assert intake.objection("look", False, False, lambda: 1000 + GRACE_US - 1) is None  # valid before: GET, no key
     assert intake.objection("look", False, False, lambda: 1000 + GRACE_US) is not None
-    assert intake.objection("look", False, True, lambda: 1001) is not None  # right under neither
-    # A second change within the while does not forget the first form; a laxer class leaves no such door.
+    assert intake.objection("look", False, True, lambda: 1001) is not None  # invalid under both classes
+    # A second change within the grace period keeps the first form; a laxer class has no grace period.
     intake.change(settings(classes=[RequestClass("look", 1, 1, effect=Effect.FRAGILE)]), 2000)
     assert intake.objection("look", False, False, lambda: 2001) is None
     intake.change(settings(classes=[LOOK]), 3000)
@@ -76,7 +76,7 @@
 
 
 class Module:
-    """The decision module and its clock."""
+    """The decision module with a simulated clock."""
 
     def __init__(self) -> None:
         self.balancer = Balancer(settings(tenants=[Tenant("t1", 10.0)]), 7)
@@ -99,10 +99,10 @@
     sent = m.sent(m.arrive("r", "look"))
     stricter = settings(classes=[RequestClass("look", 400_000, 2_000_000, effect=Effect.FRAGILE)], max_attempts=1)
     m.handle(SettingsChanged(stricter))
-    # It came as safe to repeat, with three attempts: a reset is tried again.
+    # The request arrived as safe to repeat, with three attempts: it is retried after a reset.
     again = m.sent(m.handle(AttemptEnded("r", 0, sent[0].backend, Outcome.RESET, 5000, False)))
     assert len(again) == 1
-    # One that comes now is unsafe to repeat, and has one attempt.
+    # A new request is unsafe to repeat and has one attempt.
     new = m.sent(m.arrive("n", "look"))
     after = m.handle(AttemptEnded("n", 0, new[0].backend, Outcome.RESET, 5000, False))
     assert not m.sent(after) and any(isinstance(a, Fail) for a in after)
@@ -116,7 +116,7 @@
     sent = m.sent(m.arrive("r", "pay"))
     m.handle(SettingsChanged(settings(classes=[LOOK, RequestClass("new", 1, 9_000_000, effect=Effect.RETRYABLE)])))
     again = m.sent(m.handle(AttemptEnded("r", 0, sent[0].backend, Outcome.CONNECT_FAILED, 100, False)))
-    assert len(again) == 1  # still keyed: it never ran
+    assert len(again) == 1  # still keyed, and the attempt never ran
     m.handle(AttemptEnded("r", 1, again[0].backend, Outcome.OK, 100, True))
     assert "r" not in m.balancer.requests
     new = m.sent(m.arrive("n", "new"))
@@ -132,7 +132,7 @@
     b = m.balancer
     assert b.tick_at is not None
     m.now = max(m.now, b.tick_at)
-    m.handle()  # a tick, so that none comes between what is compared
+    m.handle()  # ticks now, so that no tick falls between the compared states
     before = (b.capacity.k, b.by_name["look"].count, b.by_name["look"].base,
               {x.id: (x.health, x.seen) for x in b.membership.backends.values()})
     look, share = b.admission.index["look"], b.admission.smooth[b.admission.index["look"]]
@@ -143,7 +143,7 @@
                       {x.id: (x.health, x.seen) for x in b.membership.backends.values()})
     assert look == 0 and b.admission.index["look"] == 1 and b.admission.smooth[1] == share > 0
     assert b.admission.tenants["t1"][1] == tokens and set(b.admission.tenants) == {"t1", "t3"}
-    # The class's figures go on from here whether or not its aim is another.
+    # The learned figures of a class are kept when its aim changes.
     m.handle(SettingsChanged(settings(classes=[RequestClass("look", 1000, 2_000_000)])))
     assert b.by_name["look"].count == before[1] and b.by_name["look"].spec.aim_us == 1000
 
@@ -151,12 +151,12 @@
 def test_another_idle_time_holds_for_connections_that_stand_idle() -> None:
     plan = Plan(PlanSettings(10, 1_000_000), 1)
     plan.place("s", 0)
-    told = plan.take("s", 0, proof=False)
-    plan.opened(told.connection, 0, taken=False)
+    result = plan.take("s", 0, proof=False)
+    plan.opened(result.connection, 0, taken=False)
     plan.change(60_000_000, 4)
     assert plan.tick(2_000_000)[0] == []
     plan.change(1_000_000, 4)
-    assert plan.tick(2_000_000)[0] == [told.connection]
+    assert plan.tick(2_000_000)[0] == [result.connection]
 
 
 # ------------------------------------------------------------ on the real program
@@ -166,7 +166,7 @@
     return node.call("/stats")[1]
 
 
-def taken(node: Node, config: dict[str, Any]) -> None:
+def reload(node: Node, config: dict[str, Any]) -> None:
     before = stats(node)["reload_success"]
     node.reconfigure(config)
     wait_for(lambda: stats(node)["reload_success"] == before + 1)
@@ -186,14 +186,14 @@
         rows = config["settings"]["classes"]
         rows[:] = [rows[0], {**rows[1], "name": "refund"}]
         config["settings"]["policy_limits"]["try_limit"] = 2
-        taken(node, config)
+        reload(node, config)
         replies = stats(node)["replies"]
         assert "refund" in replies and replies["look"]["success"] == 1 and "crew" in replies
-        # Keyed, so that it needs a key, and is tried twice and no more.
+        # A keyed class: it needs a key, and is attempted at most twice.
         assert client.ask_with({"X-Call-Class": "refund"}).status == 400
-        began = stats(node)["dispatches"]
+        before = stats(node)["dispatches"]
         assert client.ask("pay", b"", X_Call_Class="refund").status == 502
-        assert stats(node)["dispatches"] == began + 2
+        assert stats(node)["dispatches"] == before + 2
         assert stats(node)["replies"]["refund"]["error"] == 1
 
 
@@ -218,7 +218,7 @@
     with running(None, None, ops=True) as node:
         config = node.configuration()
         config["discovery"] = f"{node.discovery.address[0]}:{node.discovery.address[1]}"
-        taken(node, config)
+        reload(node, config)
         yield node, config
 
 
@@ -270,21 +270,21 @@
         config = node.configuration()
         row = config["settings"]["classes"][0]
 
-        def named(name: str) -> dict[str, Any]:
+        def with_class(name: str) -> dict[str, Any]:
             config["settings"]["classes"].append({**row, "name": name})
             return config
 
-        node.reconfigure(named("one"))
-        node.reconfigure(named("two"))
+        node.reconfigure(with_class("one"))
+        node.reconfigure(with_class("two"))
         wait_for(lambda: "two" in stats(node)["replies"])
         node.call("/healthcheck/fail", "POST")
-        node.reconfigure(named("three"))
+        node.reconfigure(with_class("three"))
         wait_for(lambda: "three" in stats(node)["replies"])
         assert node.health() == 503
         node.call("/healthcheck/ok", "POST")
         node.upgrade()
         assert "three" in stats(node)["replies"]
-        node.reconfigure(named("four"))
+        node.reconfigure(with_class("four"))
         wait_for(lambda: "four" in stats(node)["replies"])
         with node.client() as new:
             assert new.ask("look", X_Call_Class="four").status == 200
--- a/tests/operations/test_states_and_figures.py
+++ b/tests/operations/test_states_and_figures.py
@@ -1,4 +1,4 @@
-"""The table of states, the ledger and the calls, without sockets."""
+"""Tests of the lifecycle, the ledger and the endpoints, without sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from headspar.operations.calls import Calls
-from headspar.operations.ledger import MOST_CLASSES, Ledger
+from headspar.operations.ledger import MAX_CLASSES, Ledger
 from headspar.operations.lifecycle import Cause, Lifecycle, State
 
 
@@ -19,7 +19,7 @@
     return lifecycle
 
 
-@pytest.mark.parametrize(("causes", "state", "ready", "away"), [
+@pytest.mark.parametrize(("causes", "state", "ready", "closes"), [
     ((), State.STARTING, False, False),
     ((Cause.STARTED,), State.READY, True, False),
     ((Cause.STARTED, Cause.FAIL), State.DRAINING, False, True),
@@ -36,10 +36,10 @@
     ((Cause.TERM,), State.ENDING, False, True),
 ])
 def test_each_cause_leads_where_the_table_says(
-    causes: tuple[Cause, ...], state: State, ready: bool, away: bool
+    causes: tuple[Cause, ...], state: State, ready: bool, closes: bool
 ) -> None:
     lifecycle = at(*causes)
-    assert (lifecycle.state, lifecycle.ready, lifecycle.sends_away) == (state, ready, away)
+    assert (lifecycle.state, lifecycle.ready, lifecycle.sends_away) == (state, ready, closes)
 
 
 def test_nothing_leads_out_of_ending_and_every_state_has_a_way_there() -> None:
@@ -54,30 +54,30 @@
 
 
 def test_watchers_hear_of_changes_only() -> None:
-    heard: list[State] = []
+    states: list[State] = []
     lifecycle = at(Cause.STARTED)
-    lifecycle.watchers.append(heard.append)
+    lifecycle.watchers.append(states.append)
     for cause in (Cause.OK, Cause.FAIL, Cause.FAIL, Cause.ALONE, Cause.OK):
         lifecycle.move(cause)
-    assert heard == [State.DRAINING, State.READY]
+    assert states == [State.DRAINING, State.READY]
 
 
 def test_taken_is_always_the_sum_of_what_became_of_it() -> None:
     rng = random.Random(4)
-    ledger, open_ = Ledger(["look", "pay"]), 0
+    ledger, in_progress = Ledger(["look", "pay"]), 0
     for _ in range(2000):
-        if rng.random() < 0.55 or not open_:
+        if rng.random() < 0.55 or not in_progress:
             ledger.took()
-            open_ += 1
+            in_progress += 1
         else:
-            open_ -= 1
+            in_progress -= 1
             if rng.random() < 0.1:
                 ledger.left()
             else:
                 ledger.answered(rng.choice(["look", "pay", "strange"]), rng.choice([200, 429, 503, 502, 504]))
         ends = [*ledger.classes.values(), ledger.others]
         counted = sum(c.success + c.overload + c.error for c in ends)
-        assert ledger.concurrent == open_
+        assert ledger.concurrent == in_progress
         assert ledger.taken == counted + ledger.abandoned + ledger.concurrent
     assert min(ledger.others.success, ledger.others.overload, ledger.others.error) > 0
 
@@ -89,7 +89,7 @@
     ledger.name(["new"])
     ledger.name(f"c{i}" for i in range(5000))
     assert ledger.figures(0, 0)["replies"]["old"]["success"] == 1
-    assert "new" in ledger.classes and len(ledger.classes) == MOST_CLASSES
+    assert "new" in ledger.classes and len(ledger.classes) == MAX_CLASSES
 
 
 @pytest.mark.parametrize(("method", "path", "status"), [
--- a/tests/operations/test_work.py
+++ b/tests/operations/test_work.py
@@ -1,4 +1,4 @@
-"""What a process tells of its work: running counts, times to answer, its own name and age."""
+"""Tests of the response of ``GET /work``: cumulative counters, histograms, process id and age."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from headspar.identity import descriptors, resident_mb
 from headspar.operations import work
 from headspar.operations.calls import Calls
-from headspar.operations.ledger import BUCKETS, MOST_CLASSES, Ledger
+from headspar.operations.ledger import BUCKETS, MAX_CLASSES, Ledger
 from headspar.operations.lifecycle import Lifecycle
 
 
 def ledger() -> Ledger:
-    made = Ledger(["look", "pay", "never"])
+    filled = Ledger(["look", "pay", "never"])
     for share in (0.5, 1.0, 1.5):
-        made.answered("look", 200, share)
+        filled.answered("look", 200, share)
     for cls, status in (("pay", 503), ("pay", 504), ("pay", 429), ("strange", 200)):
-        made.answered(cls, status, 0.1)
-    made.dispatches, made.connections, made.broken = 9, 2, 1
-    return made
+        filled.answered(cls, status, 0.1)
+    filled.dispatches, filled.connections, filled.broken = 9, 2, 1
+    return filled
 
 
 def test_counts_add_up_and_those_of_classes_stand_behind_a_colon() -> None:
@@ -30,7 +30,7 @@
     assert (c["taken:look"], c["taken:pay"], c["refused:pay"], c["failed:pay"]) == (3, 3, 2, 1)
     assert "taken:never" not in c and "taken:strange" not in c
     assert (c["attempts"], c["handshakes"], c["broken"], c["cpu_ms"]) == (9, 2, 1, 12.3)
-    # Half, once and 1.5 times the wanted time, and a tenth of it: 12, 16, 18.3 and 2.7 quarters above a sixteenth.
+    # Ratios to the latency target of 0.5, 1, 1.5 and 0.1 are 12, 16, 18.3 and 2.7 quarters above 1/16.
     assert c["served"] == 4 and c["quarters"] == pytest.approx(12 + 16 + 18.34 + 2.71, abs=0.06)
 
 
@@ -39,20 +39,20 @@
     (1e9, 32),
 ])
 def test_a_time_to_answer_stands_in_the_bucket_whose_end_it_does_not_pass(share: float, bucket: int) -> None:
-    made = Ledger(["look"])
-    made.answered("look", 200, share)
-    times = work.times(made)["classes"]["look"]
+    filled = Ledger(["look"])
+    filled.answered("look", 200, share)
+    times = work.times(filled)["classes"]["look"]
     assert times.index(1) == bucket and sum(times) == 1 and len(times) == BUCKETS
-    assert made.classes["look"].late == (share > 1.0)
-    assert bucket - 1 < made.classes["look"].quarters <= bucket or bucket in (0, 32)
+    assert filled.classes["look"].late == (share > 1.0)
+    assert bucket - 1 < filled.classes["look"].quarters <= bucket or bucket in (0, 32)
 
 
 def test_an_answer_of_all_classes_that_can_be_fits_the_listeners_bound() -> None:
-    made = Ledger(f"a-class-of-a-long-name-{i:04}" for i in range(2 * MOST_CLASSES))
-    for name in made.classes:
+    filled = Ledger(f"a-class-of-a-long-name-{i:04}" for i in range(2 * MAX_CLASSES))
+    for name in filled.classes:
         for status in (200, 503, 504):
-            made.answered(name, status, 0.7)
-    raw = json.dumps(work.shown(made, "1-2-3", "g", 1.0, 1.0, {}))
+            filled.answered(name, status, 0.7)
+    raw = json.dumps(work.shown(filled, "1-2-3", "g", 1.0, 1.0, {}))
     assert len(raw) < 64 * 1024
 
 
--- a/tests/recorder/test_record.py
+++ b/tests/recorder/test_record.py
@@ -1,4 +1,4 @@
-"""The flight recorder: its form, its bounded file, and a real node's record."""
+"""Tests of the flight recorder: its format, its bounded file, and the record of a real node."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     assert w.names_line(belief(1)) is not None and w.names_line(belief(2)) is None
     assert w.names_line(belief(3, servers=4)) is not None
     w.head()
-    assert w.names_line(belief(4, servers=4)) is not None  # each file stands by itself
+    assert w.names_line(belief(4, servers=4)) is not None  # each file can be read by itself
 
 
 HEAD = Writer("n").head()
@@ -95,18 +95,18 @@
 
 
 def test_the_file_stays_within_its_size_and_loses_only_the_oldest(tmp_path: Path) -> None:
-    path, said = tmp_path / "n0.flight", list[str]()
-    recorder = Recorder(path, 20_000, "n0", said.append)
+    path, logged = tmp_path / "n0.flight", list[str]()
+    recorder = Recorder(path, 20_000, "n0", logged.append)
     for i in range(1, 1001):
         recorder.write(belief(i))
         assert sum(f.stat().st_size for f in tmp_path.iterdir()) <= 20_000
     recorder.close()
-    recorder.write(belief(1001))  # closed: nothing happens
+    recorder.write(belief(1001))  # no effect after close
     name, rows = read(path)
-    assert name == "n0" and not said and 60 < len(rows) < 500
+    assert name == "n0" and not logged and 60 < len(rows) < 500
     times = [r.at_us for r in rows]
     assert times == sorted(times) and times[-1] == belief(1000).at_us
-    assert all(b - a == 200_000 for a, b in zip(times, times[1:], strict=False))  # none is missing in between
+    assert all(b - a == 200_000 for a, b in zip(times, times[1:], strict=False))  # no gaps
     assert all(r.counts["firsts"] == 10 for r in rows)
 
 
@@ -123,14 +123,14 @@
 
 
 def test_a_file_that_cannot_be_written_any_more_ends_the_record_and_not_the_node(tmp_path: Path) -> None:
-    said: list[str] = []
-    recorder = Recorder(tmp_path / "f", 1000, "n0", said.append)
+    logged: list[str] = []
+    recorder = Recorder(tmp_path / "f", 1000, "n0", logged.append)
     recorder.write(belief(1, servers=500))
-    assert len(said) == 1 and "one row is more than half" in said[0]
+    assert len(logged) == 1 and "one row is more than half" in logged[0]
     recorder.write(belief(2, servers=500))
-    assert len(said) == 1 and recorder.file is None
+    assert len(logged) == 1 and recorder.file is None
     with pytest.raises(OSError):
-        Recorder(tmp_path / "no" / "f", 1000, "n0", said.append)
+        Recorder(tmp_path / "no" / "f", 1000, "n0", logged.append)
 
 
 def test_a_line_cut_off_at_the_end_is_left_out_and_one_within_is_told(tmp_path: Path) -> None:
@@ -159,15 +159,15 @@
     ]
     sends = [a for a in b.handle(1000, events) if isinstance(a, Send)]
     assert len(sends) == 30
-    fates = [Outcome.OK] * 15 + [Outcome.RESET] * 15  # what may have run and may not be repeated fails
+    outcomes = [Outcome.OK] * 15 + [Outcome.RESET] * 15  # may have run and may not be repeated: fails
     ends = [
-        AttemptEnded(s.id, 0, s.backend, fate, 49_000, fate is Outcome.OK)
-        for s, fate in zip(sends, fates, strict=True)
+        AttemptEnded(s.id, 0, s.backend, outcome, 49_000, outcome is Outcome.OK)
+        for s, outcome in zip(sends, outcomes, strict=True)
     ]
     b.handle(50_000, list(ends))
     left = next(a for a in b.handle(50_500, [RequestArrived("left", "look", 2_000_000, 1000)]) if isinstance(a, Send))
     b.handle(50_600, [ClientGone("left")])
-    b.handle(50_700, [AttemptEnded("left", 0, left.backend, Outcome.OK, 200, True)])  # nobody was served
+    b.handle(50_700, [AttemptEnded("left", 0, left.backend, Outcome.OK, 200, True)])  # not counted as served
     b.admission.pa = [0.0] * len(b.admission.pa)
     b.handle(51_000, [RequestArrived(f"x{i}", "look", 2_000_000, 1000) for i in range(7)])
     got = b.belief()
@@ -196,7 +196,7 @@
         assert node.stop() == 0
         name, rows = read(path)
         assert name == "n0" and sum(r.counts["served"] for r in rows) == 20
-        assert all(b.at_us - a.at_us > 100_000 for a, b in zip(rows, rows[1:], strict=False))  # one for each tick
+        assert all(b.at_us - a.at_us > 100_000 for a, b in zip(rows, rows[1:], strict=False))  # one row per tick
         assert set(rows[-1].servers) == {"s-1"} and rows[-1].servers["s-1"].health > 0.9
         assert sum(r.host["connections"] for r in rows) == node.backends[0].accepted
         assert sum(r.host["calls"] for r in rows) >= 1
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: typed, checked, every fault one line that names the field."""
+"""Tests of the operator's file: each error is one line that names the field."""
 
 from __future__ import annotations
 
