--- a/headspar/connections/idle_time.py
+++ b/headspar/connections/idle_time.py
@@ -35,21 +35,21 @@
 class Evidence:
     """Exponentially decaying counts of breaks (``broke``) and answers (``good``) by bucket of idle time."""
 
-    __slots__ = ("broke", "good", "faded_at")
+    __slots__ = ("broke", "good", "decayed_at")
 
     def __init__(self, buckets: int, now: int) -> None:
-        self.broke, self.good, self.faded_at = [0.0] * buckets, [0.0] * buckets, now
+        self.broke, self.good, self.decayed_at = [0.0] * buckets, [0.0] * buckets, now
 
     def widen(self, buckets: int) -> None:
         """Extends to at least ``buckets`` buckets and keeps the counts."""
         for row in (self.broke, self.good):
             row.extend([0.0] * (buckets - len(row)))
 
-    def fade(self, now: int) -> None:
+    def decay(self, now: int) -> None:
         """Applies the decay up to ``now`` (us), at most once a second."""
-        if now - self.faded_at >= 1_000_000:
-            keep = exp((self.faded_at - now) / DECAY_US)
-            self.faded_at = now
+        if now - self.decayed_at >= 1_000_000:
+            keep = exp((self.decayed_at - now) / DECAY_US)
+            self.decayed_at = now
             for row in (self.broke, self.good):
                 for k, value in enumerate(row):
                     if value:
@@ -86,7 +86,7 @@
         """Counts a connection that the server closed, or that broke on reuse, after ``idle_us`` idle."""
         k = min(len(self.pool.broke) - 1, bucket(idle_us))
         if self.own is None:
-            self.own = Evidence(len(self.pool.broke), self.pool.faded_at)
+            self.own = Evidence(len(self.pool.broke), self.pool.decayed_at)
         self.own.broke[k] += 1.0
         self.pool.broke[k] += 1.0
         self._update_limits()
@@ -106,9 +106,9 @@
 
     def refresh(self, now: int) -> None:
         """Applies the decay and recomputes the limits; called periodically."""
-        self.pool.fade(now)
+        self.pool.decay(now)
         if self.own is not None:
-            self.own.fade(now)
+            self.own.decay(now)
             if sum(self.own.broke) < NEGLIGIBLE_BREAKS:
                 self.own = None
         self._update_limits()
--- a/headspar/connections/plan.py
+++ b/headspar/connections/plan.py
@@ -18,7 +18,7 @@
 descriptors are plentiful, an attempt that finds no idle connection may open one beyond the ceiling.  When only an
 eighth is left, a server that has reached both its ceiling and an equal share gets no more, so that a hung server
 does not take the descriptors that others need.  When none is left, the connection idle longest is evicted from a
-server above its ceiling, else from one that has not_only; the only connection of a server is evicted only for a
+server above its ceiling, else from one that has several; the only connection of a server is evicted only for a
 server that has none.
 
 *Order.*  The most recently proven connection is used first (LIFO), so that surplus connections age at the bottom of
@@ -220,7 +220,7 @@
         self.idle: OrderedDict[int, _Connection] = OrderedDict()  # of all servers, longest idle first
         self.touched: deque[_Server] = deque()  # servers that a tick has to review
         self.shortened: set[_Server] = set()  # servers whose learned idle limit is below the announced one
-        self.ages: list[tuple[int, int]] = []  # heap of (retirement time, connection number)
+        self.retirements: list[tuple[int, int]] = []  # heap of (retirement time, connection number)
         self.evidence = Evidence(bucket(settings.idle_us) + 1, 0)  # idle times of all servers
         self.serial = 0
         self.use_us = 0.0  # mean time in use of an answered connection, over all servers
@@ -295,7 +295,7 @@
         surplus = len(self.connections) - most
         return [self._drop(c) for c in list(self.idle.values())[:max(0, surplus)]]
 
-    # ------------------------------------------------------------ an attempt
+    # ------------------------------------------------------------ attempts
 
     def take(self, server: str, now: int, *, proof: bool) -> Assignment:
         """Assigns a connection to an attempt.  ``proof``: only one that was recently proven alive may be used."""
@@ -396,7 +396,7 @@
     def _eviction_victim(self, requester: _Server) -> _Connection | None:
         """The connection to evict: among those idle longest the first of a server above its ceiling, else the first
         that is not the only one of its server, else an only one if ``requester`` has none itself."""
-        not_only: _Connection | None = None
+        one_of_several: _Connection | None = None
         only: _Connection | None = None
         for i, c in enumerate(self.idle.values()):
             if i >= EVICTION_CANDIDATES:
@@ -405,12 +405,12 @@
             if held > 1:
                 if held > c.server.ceiling():
                     return c
-                not_only = not_only or c
+                one_of_several = one_of_several or c
             else:
                 only = only or c
-        return not_only or (only if requester.held == 0 else None)
+        return one_of_several or (only if requester.held == 0 else None)
 
-    # ------------------------------------------------------------ what happens
+    # ------------------------------------------------------------ events
 
     def opened(self, number: int, now: int, *, taken: bool) -> bool:
         """Records that a connection is established.  ``taken``: an attempt is sent on it at once.
@@ -427,10 +427,10 @@
         if c.server.gone:
             del self.connections[number]
             return False
-        heappush(self.ages, (c.retire_at, number))
-        if len(self.ages) > 64 + 4 * len(self.connections):  # most entries are stale
-            self.ages = [row for row in self.ages if row[1] in self.connections]
-            heapify(self.ages)
+        heappush(self.retirements, (c.retire_at, number))
+        if len(self.retirements) > 64 + 4 * len(self.connections):  # most entries are stale
+            self.retirements = [row for row in self.retirements if row[1] in self.connections]
+            heapify(self.retirements)
         if taken:
             c.server.accumulate(now)
             c.server.busy += 1
@@ -512,7 +512,7 @@
         self.idle[c.number] = c
 
     def _drop(self, c: _Connection) -> int:
-        """Forget an idle connection; its number, for the host to close."""
+        """Drops an idle connection; returns its number, for the host to close."""
         if c.server.idle and c.server.idle[-1] is c:
             c.server.idle.pop()
         else:
@@ -521,7 +521,7 @@
         del self.connections[c.number]
         return c.number
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ periodic work
 
     def tick(self, now: int) -> tuple[list[int], list[tuple[str, int]]]:
         """Returns the connections to close (retired, or beyond the demand) and those to open ahead.
@@ -530,13 +530,13 @@
         """
         close: list[int] = []
         ahead: list[tuple[str, int]] = []
-        while self.ages and self.ages[0][0] <= now:
-            c = self.connections.get(heappop(self.ages)[1])
+        while self.retirements and self.retirements[0][0] <= now:
+            c = self.connections.get(heappop(self.retirements)[1])
             if c is not None and c.state == "idle":
                 close.append(self._drop(c))  # one in use is closed after its answer
-        self.evidence.fade(now)
-        # The longest idle come first, so the scan stops at the first that is below the shortest limit of any server.
-        # Connections of servers with other limits are found on the way, or by ``take``.
+        self.evidence.decay(now)
+        # The longest idle come first, so the scan ends at the first one below the shortest limit of all servers.
+        # Connections retired by the limit of their own server are found on the way, or by ``take``.
         shortest = min((s.idle_time.limit_us for s in self.shortened),
                        default=int(IDLE_MARGIN * self.settings.idle_us))
         for c in list(self._idle_for(shortest, now)):
--- a/headspar/handover/giver.py
+++ b/headspar/handover/giver.py
@@ -17,7 +17,7 @@
 from headspar.handover.sides import Action, Giving, old_process_step
 
 REPORT_INTERVAL_S = 0.1
-RETRY_S = 0.005  # while the socket to the new process is socket_full
+RETRY_S = 0.005  # while the socket to the new process is full
 HELLO_TIMEOUT_S = 1.0
 
 
@@ -121,6 +121,7 @@
             self._send_clients(self.link)
 
     def _hand_over(self) -> None:
+        """Hands over idle clients and reports what is still held, then repeats this after a delay."""
         self._cancel()
         if self.state is not Giving.SUCCEEDED or self.link is None:
             return
@@ -132,7 +133,7 @@
         self.timer = self.loop.call_later(RETRY_S if socket_full else REPORT_INTERVAL_S, self._hand_over)
 
     def _send_clients(self, link: socket.socket) -> bool:
-        """Hands over all idle clients; returns False if the socket to the new process is socket_full."""
+        """Hands over all idle clients; returns False if the socket to the new process is full."""
         while True:
             files = self.process.idle(MAX_SOCKETS)
             if not files:
--- a/tests/connections/test_hard_cases.py
+++ b/tests/connections/test_hard_cases.py
@@ -112,7 +112,7 @@
         assert code == [0]
 
 
-class Narrow(Backend):
+class LimitedBackend(Backend):
     """Accepts ``most`` connections and resets further ones."""
 
     most = 3
@@ -135,15 +135,15 @@
 
 
 def test_a_server_that_accepts_fewer_connections_than_are_wanted_is_found_out() -> None:
-    narrow, wide = Narrow(slow, "s-1"), Backend(slow, "s-2")
-    with running_node([narrow.row(), wide.row()], [narrow, wide]) as node:
+    limited, unlimited = LimitedBackend(slow, "s-1"), Backend(slow, "s-2")
+    with running_node([limited.row(), unlimited.row()], [limited, unlimited]) as node:
         served = 0
         for _ in range(20):
             answers = Batch(node, "look", 16).wait()
             served += sum(got.status == 200 for got, _ in answers)
         assert served >= 0.97 * 320
-        assert narrow.requests  # it still serves within its limit
-        assert narrow.rejected < 60  # not every attempt of each burst beyond the limit
+        assert limited.requests  # it still serves within its limit
+        assert limited.rejected < 60  # not every attempt of each burst beyond the limit
 
 
 @pytest.mark.parametrize("cls", ["pay", "crew"])
--- a/tests/connections/test_plan.py
+++ b/tests/connections/test_plan.py
@@ -632,4 +632,4 @@
     for number in out:
         p.ended(number, now)
     assert not p.connections and not p.idle and not p.servers
-    assert len(p.ages) <= 64 + 4 * 60
+    assert len(p.retirements) <= 64 + 4 * 60
