--- a/headspar/handover/beliefs.py
+++ b/headspar/handover/beliefs.py
@@ -20,7 +20,7 @@
 from headspar.interface import Experience, ServerExperience
 
 VERSION = 1
-MAX_BYTES = 4 << 20
+MOST_BYTES = 4 << 20
 MAX_SERVERS = 20_000
 MAX_NAMES = 1_000  # entries of a table
 MOST_LEFT = 20  # maximum number of names in ``left``
@@ -56,17 +56,17 @@
 
 
 def encode(beliefs: Beliefs) -> bytes:
-    """Serializes to at most ``MAX_BYTES`` bytes of JSON; returns no bytes if it would be more."""
+    """Serializes to at most ``MOST_BYTES`` bytes of JSON; returns no bytes if it would be more."""
     raw = {"v": VERSION, "least": VERSION, **asdict(beliefs)}
     del raw["left"]
     data = json.dumps(raw, separators=(",", ":")).encode()
-    return data if len(data) <= MAX_BYTES else b""
+    return data if len(data) <= MOST_BYTES else b""
 
 
 def decode(data: bytes) -> Beliefs:
     """Parses all valid fields; raises ``BeliefsError`` if the data as a whole is invalid."""
-    if not data or len(data) > MAX_BYTES:
-        raise BeliefsError(f"size {len(data)} bytes, expected 1 to {MAX_BYTES}")
+    if not data or len(data) > MOST_BYTES:
+        raise BeliefsError(f"size {len(data)} bytes, expected 1 to {MOST_BYTES}")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
--- a/headspar/handover/taker.py
+++ b/headspar/handover/taker.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from headspar.handover import meeting
-from headspar.handover.beliefs import MAX_BYTES
+from headspar.handover.beliefs import MOST_BYTES
 from headspar.handover.messages import Clients, Held, Hello, MessageError, No, Offer, Ready
 from headspar.handover.sides import Action, NewProcessState, new_process_step
 
@@ -71,7 +71,7 @@
     sockets = [socket.socket(fileno=fd) for fd in files[:-1]]
     with os.fdopen(files[-1], "rb") as file:
         file.seek(0)
-        beliefs = file.read(MAX_BYTES + 1)  # one byte more, so that a longer one is rejected
+        beliefs = file.read(MOST_BYTES + 1)  # one byte more, so that a longer one is rejected
     for sock in (link, *sockets):
         sock.setblocking(False)
     return Taken(link, message, sockets[0], sockets[1] if message.peers else None, beliefs)
