--- a/tests/connections/test_socket_side.py
+++ b/tests/connections/test_socket_side.py
@@ -25,7 +25,7 @@
 MAKING, WAITING = Connections().making, Connections().waiting
 
 
-class StubNode:
+class Core:
     """A stub of the node for ``Backends`` that records the outcomes of attempts."""
 
     def __init__(self, ahead: int = 0, **changes: Any) -> None:
@@ -74,8 +74,8 @@
 
 
 @contextlib.asynccontextmanager
-async def core(**changes: Any) -> AsyncIterator[StubNode]:
-    c = StubNode(**changes)
+async def core(**changes: Any) -> AsyncIterator[Core]:
+    c = Core(**changes)
     yield c
     for conn in list(c.backends.connections.values()):
         conn.close()
@@ -102,7 +102,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(**changes: Any) -> AsyncIterator[tuple[StubNode, list[Server]]]:
+async def serving(**changes: Any) -> AsyncIterator[tuple[Core, list[Server]]]:
     """A ``Backends`` with one server, "s", and the connections that the server has accepted, in order."""
     made: list[Server] = []
     server = await asyncio.get_running_loop().create_server(lambda: Server(made), *free_address())
