--- a/headspar/operator_file.py
+++ b/headspar/operator_file.py
@@ -245,7 +245,7 @@
     hints = typing.get_type_hints(cls)
     prefix = f"{at}." if at else ""
     for key in raw:
-        _require(key in hints, f"{prefix}{key}", "there is no such key")
+        _require(key in hints, f"{prefix}{key}", "unknown key")
     values = {key: _parse_value(value, hints[key], f"{prefix}{key}") for key, value in raw.items()}
     try:
         return cls(**values)
@@ -271,7 +271,7 @@
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise OperatorError(f"{path}: no UTF-8 text") from None
+        raise OperatorError(f"{path}: not UTF-8 text") from None
     except OperatorError as error:
         raise OperatorError(f"{path}: {' '.join(str(error).split())}") from None
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -62,7 +62,7 @@
     with pytest.raises(OperatorError, match="gone.toml: No such file"):
         load(tmp_path / "gone.toml")
     (tmp_path / "bytes.toml").write_bytes(b"\xff\xfe")
-    with pytest.raises(OperatorError, match="bytes.toml: no UTF-8"):
+    with pytest.raises(OperatorError, match="bytes.toml: not UTF-8"):
         load(tmp_path / "bytes.toml")
 
 
@@ -79,7 +79,7 @@
     file.write_text("[connections]\nahed = 2\n")
     bad = check(file)
     assert bad.returncode == 2
-    assert bad.stderr == f"headspar: {file}: connections.ahed: there is no such key\n"
+    assert bad.stderr == f"headspar: {file}: connections.ahed: unknown key\n"
 
 
 def test_a_node_reads_the_file_that_its_environment_names(tmp_path: Path) -> None:
