--- a/tests/fleet/test_count.py
+++ b/tests/fleet/test_count.py
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize(("text", "says"), [
     ("", "no flight record"), ("hello\n", "line 1: no JSON"), ("[1,2]\n", "first line is missing"),
     ("x" * 9_000_000, "line 1: no JSON"),
-    ('{"headspar":"flight","version":2,"node":"n0"}\n[1]\n', "line 2: a row has 18 fields"),
+    ('{"headspar":"flight","version":2,"node":"n0"}\n[1]\n', "line 2: a row must have 18 fields"),
 ])
 def test_a_file_that_is_none_of_ours_is_one_line_and_status_2(text: str, says: str, tmp_path: Path) -> None:
     path = tmp_path / "f"
