--- a/tests/node/test_discovery_crossings.py
+++ b/tests/node/test_discovery_crossings.py
@@ -1,4 +1,5 @@
-"""What crosses in the watch on the list: a call that is called off as it connects, moves, an answer and an end."""
+"""Orderings of events in the watch on discovery: a cancelled connect, address changes, an answer together with a
+disconnect."""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 
 
 class Transport:
-    """A connection to discovery that keeps what is asked."""
+    """Stub of a connection to discovery that records the paths asked for."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -37,7 +38,7 @@
 
 
 class Loop:
-    """The running loop, but connections are made by the test: ``calls`` are those that wait for theirs."""
+    """The running loop, except that the test completes connections; ``calls`` are the pending ones."""
 
     def __init__(self) -> None:
         real = asyncio.get_running_loop()
@@ -51,7 +52,8 @@
         await up
 
     def make(self, number: int, error: Exception | None = None) -> tuple[Call, Transport]:
-        """The connection is made; who waits for it is told in the next round, or of an error."""
+        """Complete the connection, or fail it with ``error``; the caller that waits for it resumes in the next
+        round."""
         call, transport, _, up = self.calls[number]
         call.connection_made(cast(Any, transport))
         if error is not None:
@@ -61,16 +63,16 @@
         return call, transport
 
 
-class Whole:
-    """A discovery side in ask mode with a list told to it at its start."""
+class WatchHarness:
+    """A ``Discovery`` that has been started with a known list and is polled by the balancer."""
 
     def __init__(self, **changes: Any) -> None:
         self.loop = Loop()
-        self.told: list[BackendList] = []
+        self.lists: list[BackendList] = []
         self.log: list[str] = []
         self.removed: list[str] = []
         node = SimpleNamespace(settings=settings(**changes), loop=self.loop, ledger=Ledger(),
-                               told=self.told.append, log=self.log.append)
+                               on_list=self.lists.append, log=self.log.append)
         backends = SimpleNamespace(hosts={}, remove=self.removed.append, place=self._place)
         self.hosts = backends.hosts
         self.discovery = Discovery(cast(Node, node), cast(Backends, backends), A)
@@ -95,12 +97,12 @@
 
 
 def test_a_call_that_is_called_off_just_as_its_connection_is_made_leaves_none_open() -> None:
-    async def whole() -> None:
-        w = Whole()
+    async def scenario() -> None:
+        w = WatchHarness()
         w.discovery.watch(True)
         await rounds()
         _, transport = w.loop.make(0)
-        w.discovery.move(B)  # before the call hears of its connection
+        w.discovery.move(B)  # before the task sees that its connection is established
         newer = w.discovery.task
         await rounds()
         assert transport.aborted and not transport.asked
@@ -110,54 +112,54 @@
         assert w.loop.calls[1][2] == B and second.asked == ["/v1/servers"] and w.discovery.task is None
         w.discovery.watch(False)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("error", [TimeoutError(), ConnectionResetError()])
 def test_a_call_whose_time_runs_out_just_as_its_connection_is_made_leaves_none_open(error: Exception) -> None:
-    async def whole() -> None:
-        w = Whole()
+    async def scenario() -> None:
+        w = WatchHarness()
         w.discovery.watch(True)
         await rounds()
         _, transport = w.loop.make(0, error)
         await rounds()
-        assert w.told[-1].kind is ListKind.FAILED and w.discovery.call is None and w.discovery.task is None
+        assert w.lists[-1].kind is ListKind.FAILED and w.discovery.call is None and w.discovery.task is None
         assert transport.aborted and not transport.asked
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def test_moves_from_a_to_b_and_back_end_with_one_call_that_asks_for_the_whole_list() -> None:
-    async def whole() -> None:
-        w = Whole()
+    async def scenario() -> None:
+        w = WatchHarness()
         w.discovery.watch(True)
         await rounds()
         call, first = w.loop.make(0)
         await rounds()
-        call.data_received(answer(6, [row("s-1", "draining")]))  # of the old one, heard after the move
+        call.data_received(answer(6, [row("s-1", "draining")]))  # from the old address, processed after the move
         w.discovery.move(B)
         w.discovery.move(A)
         await rounds()
-        assert [address for _, _, address, _ in w.loop.calls] == [A, A]  # B was never begun
-        assert first.aborted and not any(e.version == 6 for e in w.told)
+        assert [address for _, _, address, _ in w.loop.calls] == [A, A]  # no connection to B was started
+        assert first.aborted and not any(e.version == 6 for e in w.lists)
         _, second = w.loop.make(1)
         await rounds()
         assert second.asked == ["/v1/servers"]
         w.loop.calls[1][0].data_received(answer(7, [row("s-1")], reset=True))
         await rounds()
-        assert w.told[-1].version == 7 and "s-2" in w.removed
+        assert w.lists[-1].version == 7 and "s-2" in w.removed
         assert second.asked[-1].startswith("/v1/servers?since=7&")
         w.discovery.watch(False)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("after", [b"", b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n[]", b"\0nonsense"])
 def test_an_answer_and_the_end_of_its_connection_in_one_round_are_the_answer_and_a_new_connection(
     after: bytes,
 ) -> None:
-    async def whole() -> None:
-        w = Whole()
+    async def scenario() -> None:
+        w = WatchHarness()
         w.discovery.watch(True)
         await rounds()
         call, transport = w.loop.make(0)
@@ -165,19 +167,19 @@
         call.data_received(answer(6, [row("s-1", "draining")]) + after)
         call.connection_lost(ConnectionResetError())
         await rounds()
-        assert w.told[-1].version == 6 and not any(e.kind is ListKind.FAILED for e in w.told)
+        assert w.lists[-1].version == 6 and not any(e.kind is ListKind.FAILED for e in w.lists)
         assert len(w.loop.calls) == 2 and len(transport.asked) == 1
         _, second = w.loop.make(1)
         await rounds()
-        assert second.asked == [f"/v1/servers?since=6&timeout_ms={w.discovery.chain.wait_us // 1000}"]
+        assert second.asked == [f"/v1/servers?since=6&timeout_ms={w.discovery.watch_state.wait_us // 1000}"]
         w.discovery.watch(False)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def test_a_whole_list_that_lacks_a_server_that_drains_ends_it() -> None:
-    async def whole() -> None:
-        w = Whole()
+    async def scenario() -> None:
+        w = WatchHarness()
         w.discovery.watch(True)
         await rounds()
         call, _ = w.loop.make(0)
@@ -186,7 +188,7 @@
         await rounds()
         call.data_received(answer(7, [row("s-2")], reset=True))
         await rounds()
-        assert w.removed == ["s-1"] and w.told[-1].kind is ListKind.FULL
+        assert w.removed == ["s-1"] and w.lists[-1].kind is ListKind.FULL
         w.discovery.watch(False)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -1,4 +1,4 @@
-"""The end of a process, and signals that come early: requests that cross them have their answer."""
+"""Shutdown of a process and early signals: requests that arrive meanwhile are answered."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 import pytest
 
 from headspar.node import core
-from headspar.process import Process, accepted
+from headspar.process import Process, drain_accept_queue
 from tests.loopback import PATIENCE, ROOT, Backend, Discovery, answer, free_address, running, text, wait_for
-from tests.test_due import fresh
+from tests.test_due import make_node
 
 
-class Asker:
-    """The client of a request, which keeps how it was answered."""
+class RecordingClient:
+    """Stub of a request's client that records how it was answered."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, int]] = []
@@ -32,29 +32,29 @@
         self.answers.append((status, retry_after_us))
 
 
-def asked(node: core.Node) -> tuple[core.Request, Asker]:
-    asker = Asker()
-    r = core.Request(cast(Any, asker))
+def submit_request(node: core.Node) -> tuple[core.Request, RecordingClient]:
+    client = RecordingClient()
+    r = core.Request(cast(Any, client))
     r.cls, r.budget_us = "look", 1_000_000
-    r.came = node.came()
+    r.came = node.arrival_time()
     r.deadline = r.came + r.budget_us
     node.arrived(r)
-    return r, asker
+    return r, client
 
 
 @pytest.fixture
 def node(monkeypatch: pytest.MonkeyPatch) -> core.Node:
-    node, _, _ = fresh(monkeypatch)
+    node, _, _ = make_node(monkeypatch)
     node.backends = cast(Any, SimpleNamespace(repeatable=set(), budget=None))
     return node
 
 
 def test_what_is_read_after_the_last_answers_were_given_is_refused_at_once(node: core.Node) -> None:
-    """It was taken, and the process ended before its deadline: no answer."""
-    _, before = asked(node)
-    node.cut()
+    """Such a request used to be taken, and the process ended before its deadline without an answer."""
+    _, before = submit_request(node)
+    node.answer_all()
     assert before.answers == [(504, 0)]
-    _, after = asked(node)
+    _, after = submit_request(node)
     assert after.answers == [(503, node.retry_after())]
     assert not node.requests
 
@@ -65,74 +65,74 @@
     node.most_held = 0
     monkeypatch.setattr(node.settings, "retry_after", True)
     monkeypatch.setattr(node.settings, "max_retry_after_us", 400_000)
-    assert asked(node)[1].answers == [(503, 400_000)]
+    assert submit_request(node)[1].answers == [(503, 400_000)]
     monkeypatch.setattr(node.settings, "retry_after", False)
-    assert asked(node)[1].answers == [(503, 0)]
+    assert submit_request(node)[1].answers == [(503, 0)]
 
 
 def test_a_request_that_waited_for_its_turn_has_what_is_left_of_its_time(node: core.Node) -> None:
-    """Its time counts from its last byte: what it tells its backend, and when it is answered at the latest."""
-    asker, loop = Asker(), cast(Any, node.loop)
-    r = core.Request(cast(Any, asker))
-    r.cls, r.budget_us, r.came = "look", 1_000_000, node.came()
+    """Both the budget sent to the backend and the deadline count from the request's last byte."""
+    client, loop = RecordingClient(), cast(Any, node.loop)
+    r = core.Request(cast(Any, client))
+    r.cls, r.budget_us, r.came = "look", 1_000_000, node.arrival_time()
     r.deadline = r.came + r.budget_us
     loop.run(loop.now + 700_000)
     node.arrived(r)
-    assert r.deadline == r.came + r.budget_us and not asker.answers
+    assert r.deadline == r.came + r.budget_us and not client.answers
     loop.run(loop.now + 301_000)
-    assert asker.answers == [(504, 0)]
+    assert client.answers == [(504, 0)]
 
 
 def test_a_request_whose_time_is_cut_by_one_behind_it_is_answered_by_then(
     node: core.Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    r, asker = asked(node)
+    r, client = submit_request(node)
     loop = cast(Any, node.loop)
-    node.hasten(r, loop.now + 300_000)
-    node.hasten(r, loop.now + 500_000)  # never more again
+    node.shorten_deadline(r, loop.now + 300_000)
+    node.shorten_deadline(r, loop.now + 500_000)  # a deadline is never extended again
     loop.run(loop.now + 299_000)
-    assert not asker.answers
+    assert not client.answers
     loop.run(loop.now + 10_000)
-    assert asker.answers == [(504, 0)]
+    assert client.answers == [(504, 0)]
 
 
 def test_connections_in_the_systems_queue_are_served_when_the_listener_closes() -> None:
-    """They were reset, with the requests that had come on them."""
-    async def whole() -> None:
+    """The system reset these connections together with the requests sent on them."""
+    async def scenario() -> None:
         listener = socket.socket()
         listener.bind(free_address())
         listener.listen(8)
         listener.setblocking(False)
         clients = [socket.create_connection(listener.getsockname()) for _ in range(3)]
         loop = asyncio.get_running_loop()
-        came: list[asyncio.BaseTransport] = []
+        transports: list[asyncio.BaseTransport] = []
 
-        class Taken(asyncio.Protocol):
+        class Greeter(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
-                came.append(transport)
+                transports.append(transport)
                 cast(asyncio.Transport, transport).write(b"taken")
 
         async def serve(sock: socket.socket) -> None:
-            await loop.connect_accepted_socket(Taken, sock)
+            await loop.connect_accepted_socket(Greeter, sock)
 
         tasks: list[asyncio.Task[None]] = []
         closed: list[bool] = []
         part = SimpleNamespace(socket=listener, listening=True, _serve=serve,
                                _spawn=lambda work: tasks.append(loop.create_task(work)))
-        Process._listen_no_more(cast(Any, part), cast(Any, SimpleNamespace(close=lambda: closed.append(True))))
+        Process._close_listener(cast(Any, part), cast(Any, SimpleNamespace(close=lambda: closed.append(True))))
         assert closed == [True] and part.listening is None and listener.fileno() == -1
         await asyncio.gather(*tasks)
-        assert len(came) == 3
+        assert len(transports) == 3
         for client in clients:
             client.settimeout(PATIENCE)
             assert await asyncio.to_thread(client.recv, 100) == b"taken"
             client.close()
-        for transport in came:
+        for transport in transports:
             transport.close()
         with pytest.raises(OSError):
             socket.create_connection(("127.0.0.1", 1), 0.1)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def test_the_queue_is_emptied_past_a_connection_that_was_aborted_in_it() -> None:
@@ -148,10 +148,10 @@
 
     sock = SimpleNamespace(setblocking=lambda flag: None)
     queue = Queue(sock, ConnectionAbortedError(), InterruptedError(), sock, BlockingIOError())
-    assert list(accepted(cast(Any, queue), 10)) == [sock, sock] and not queue.what
+    assert list(drain_accept_queue(cast(Any, queue), 10)) == [sock, sock] and not queue.what
     full = Queue(sock, OSError(24, "too many open files"), sock)
-    assert list(accepted(cast(Any, full), 10)) == [sock]
-    assert len(list(accepted(cast(Any, Queue(sock, sock, sock)), 2))) == 2
+    assert list(drain_accept_queue(cast(Any, full), 10)) == [sock]
+    assert len(list(drain_accept_queue(cast(Any, Queue(sock, sock, sock)), 2))) == 2
 
 
 def test_a_backend_that_hangs_through_the_whole_shutdown_leaves_nobody_without_an_answer() -> None:
@@ -167,7 +167,7 @@
         wait_for(lambda: len(node.backends[0].requests) == 6)
         began = time.monotonic()
         node.process.send_signal(signal.SIGTERM)
-        node.process.send_signal(signal.SIGTERM)  # said twice, it is the same end
+        node.process.send_signal(signal.SIGTERM)  # a second SIGTERM changes nothing
         statuses = [client.read().status for client in clients]
         assert set(statuses) <= {502, 504}
         assert all(client.ended() for client in clients)
@@ -176,7 +176,8 @@
 
 
 def test_a_large_answer_to_a_slow_reader_is_whole_though_the_process_ends() -> None:
-    """A connection whose answer had been written was taken for one at rest, and the process ended over it."""
+    """A connection whose answer was still in the write buffer counted as idle, and the process ended before it was
+    sent."""
     body = bytes(range(256)) * 4096
     with running(lambda s, n: s.sendall(answer(200, body))) as node:
         client = node.client()
@@ -185,7 +186,7 @@
         wait_for(lambda: node.backends[0].requests)
         time.sleep(0.2)
         node.process.send_signal(signal.SIGTERM)
-        time.sleep(0.9)  # beyond the time after which connections at rest are closed
+        time.sleep(0.9)  # beyond the time after which idle connections are closed
         got = client.read()
         assert got.whole and got.body == body
         assert node.process.wait(PATIENCE) == 0
@@ -195,7 +196,7 @@
 def test_sighup_before_the_node_can_act_on_it_ends_nothing_and_is_not_forgotten(
     tmp_path: Path, written: str
 ) -> None:
-    """Its configuration is a pipe, so the process stands in its start until the test lets it go on."""
+    """The configuration is a named pipe, so the process blocks in its start until the test writes to it."""
     backend = Backend()
     first, second = Discovery([backend.row()]), Discovery([backend.row()])
     from tests.loopback import settings
@@ -217,21 +218,21 @@
     with log.open("wb") as file:
         process = subprocess.Popen([sys.executable, "-m", "headspar"], cwd=ROOT, env=env, stderr=file)
     try:
-        pipe = os.open(path, os.O_WRONLY)  # waits for its reader
+        pipe = os.open(path, os.O_WRONLY)  # blocks until the process opens it for reading
         new.rename(path)
         process.send_signal(signal.SIGHUP)
         os.write(pipe, config(first).encode())
         os.close(pipe)
         if written == "whole":
             wait_for(lambda: second.calls or process.poll() is not None)
-        else:  # half written, as it may be when it is read: nothing of it is taken
+        else:  # an incomplete file must be rejected as a whole
             wait_for(lambda: "nothing taken" in log.read_text() or process.poll() is not None)
             wait_for(lambda: first.calls)
             path.write_text(config(second))
             process.send_signal(signal.SIGHUP)
             wait_for(lambda: second.calls)
         assert process.poll() is None
-        process.send_signal(signal.SIGHUP)  # and in a row, also after the end has begun
+        process.send_signal(signal.SIGHUP)  # several in a row, also after shutdown has begun
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -199,9 +199,9 @@
     assert change(run).state is State.TAKEN_BACK
 
 
-DIES = planted("process.py", "        self._sweep()\n        self._tend()\n        if self.keeping",
-               "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._tend()\n"
-               "        if self.keeping")
+DIES = planted("process.py", "        self._sweep()\n        self._maintain()\n        if self.snapshots",
+               "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._maintain()\n"
+               "        if self.snapshots")
 MUTE = planted("process.py", "        await self._listen()\n        node.standstill",
                "        self.socket.listen(64)\n        node.standstill")
 DEAF_TO_TERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,7 +1,7 @@
-"""The backend side of the real program: each row of PROTOCOL's table, and what is sent again after it.
+"""The backend side of the whole program: each row of PROTOCOL's table, and what is retried after it.
 
-What the module is told shows in what it may do next: an unsafe request is refused or sent elsewhere only
-where no attempt can have run, and fails where one may have.
+What the balancer is told shows in what it does next: an unsafe request is refused or sent elsewhere only if no
+attempt can have run, and fails if one may have.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 REFUSED, FAILED = (429, 503), (500, 502, 504)
 
 
-def cut(data: bytes) -> Script:
-    """Sends ``data`` and ends the connection."""
+def send_and_close(data: bytes) -> Script:
+    """Return a script that sends ``data`` and ends the connection."""
 
     def script(sock: socket.socket, n: int) -> bool:
         sock.sendall(data)
@@ -27,7 +27,7 @@
     return script
 
 
-def broken(sock: socket.socket, n: int) -> bool:
+def reset_connection(sock: socket.socket, n: int) -> bool:
     reset(sock)
     return False
 
@@ -37,21 +37,21 @@
     lambda s, n: s.sendall(answer(503)),
     lambda s, n: s.sendall(answer(404)),
     lambda s, n: s.sendall(answer(204, b"")),
-    broken,
-    cut(b""),
-    cut(b"HTTP/1.1 200 OK\r\nContent-Le"),
-    cut(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"),
-    cut(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"),
-    cut(b"HTTP/1.1 500 X\r\nContent-Length: 5\r\n\r\nabc"),
-    cut(b"garbage\r\n\r\n"),
-    cut(b"HTTP/1.1 101 X\r\nUpgrade: y\r\nConnection: upgrade\r\n\r\n"),
-    cut(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 100_000),
-    cut(b"HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nabc"),
+    reset_connection,
+    send_and_close(b""),
+    send_and_close(b"HTTP/1.1 200 OK\r\nContent-Le"),
+    send_and_close(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"),
+    send_and_close(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"),
+    send_and_close(b"HTTP/1.1 500 X\r\nContent-Length: 5\r\n\r\nabc"),
+    send_and_close(b"garbage\r\n\r\n"),
+    send_and_close(b"HTTP/1.1 101 X\r\nUpgrade: y\r\nConnection: upgrade\r\n\r\n"),
+    send_and_close(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 100_000),
+    send_and_close(b"HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\nabc"),
 ])
 def test_what_may_have_run_fails_an_unsafe_request(script: Script) -> None:
     with running(script, None) as node:
         client = node.client()
-        for _ in range(20):  # until the module has picked the faulty one
+        for _ in range(20):  # until the balancer has chosen the faulty backend
             status = client.ask("crew").status
             if node.backends[0].requests:
                 break
@@ -66,7 +66,7 @@
         client = node.client()
         assert all(client.ask("crew").status == 200 for _ in range(12))
         assert node.backends[0].requests
-        assert node.backends[0].accepted == 1  # its connection was in order and is kept
+        assert node.backends[0].accepted == 1  # the rejection was well-formed, so its connection is kept
     with running(lambda s, n: s.sendall(answer(status, b"", X_Rejected="1"))) as node:
         got = node.client().ask("crew")
         assert got.status in REFUSED and float(got.headers["Retry-After"]) > 0
@@ -95,7 +95,7 @@
         for _ in range(5):
             assert client.ask("crew").status == 200
             for conn in node.backends[0].open:
-                with contextlib.suppress(OSError):  # those of earlier rounds are closed already
+                with contextlib.suppress(OSError):  # connections of earlier rounds are already closed
                     conn.shutdown(socket.SHUT_RDWR)
         assert len(node.backends[0].requests) == node.backends[0].accepted == 5
 
@@ -111,7 +111,7 @@
     with running(script) as node:
         client = node.client()
         assert client.ask("crew").status == 200
-        assert client.ask("crew").status in FAILED  # it may have run: neither refused nor sent again
+        assert client.ask("crew").status in FAILED  # it may have run: neither refused nor retried
         assert len(node.backends[0].requests) == 2
 
 
@@ -125,7 +125,7 @@
                 break
         assert status in FAILED
         assert 0.3 < time.monotonic() - began < 2
-        wait_for(lambda: node.backends[0].ended)  # the attempt was given up
+        wait_for(lambda: node.backends[0].ended)  # the attempt was cancelled
 
 
 def test_a_second_copy_wins_and_the_loser_is_closed() -> None:
@@ -200,7 +200,7 @@
     "framing", [b"Content-Length: 300000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n30D40\r\n"]
 )
 def test_a_long_answer_that_is_cut_is_seen_to_be(framing: bytes) -> None:
-    with running(cut(b"HTTP/1.1 200 OK\r\n" + framing + bytes(100_000))) as node:
+    with running(send_and_close(b"HTTP/1.1 200 OK\r\n" + framing + bytes(100_000))) as node:
         got = node.client().ask()
         assert got.status == 200 and not got.whole
         assert len(node.backends[0].requests) == 1
@@ -224,7 +224,7 @@
 
 
 def test_silence_puts_kept_connections_in_doubt() -> None:
-    """After a time-out at a backend that has said nothing since, its idle connections are not used."""
+    """After a time-out at a backend that has sent nothing since, its idle connections are not used."""
     silent: list[bool] = []
 
     def script(sock: socket.socket, n: int) -> None:
@@ -244,7 +244,7 @@
 
 
 def test_a_client_that_leaves_costs_one_connection() -> None:
-    """Clients that left early emptied the pool of every backend that had not spoken since the send."""
+    """Clients that disconnected early emptied the pool of every backend that had sent nothing since the request."""
     held: list[bool] = []
 
     def script(sock: socket.socket, n: int) -> None:
@@ -276,7 +276,7 @@
 
 
 def test_backends_that_break_do_not_stop_the_node() -> None:
-    """A storm of resets at every point: each request has one answer, and descriptors come back."""
+    """Backends reset connections at every point: each request still gets one answer, and descriptors are released."""
     points = [b"", b"HTTP", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n123", answer()]
 
     def script(sock: socket.socket, n: int) -> bool:
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -1,11 +1,11 @@
-"""The chain of calls to discovery, without sockets."""
+"""The state machine of the long-poll watch on discovery, without sockets."""
 
 from __future__ import annotations
 
 import pytest
 
 from headspar.interface import RequestClass, Settings
-from headspar.node.chain import ANEW_US, LONGEST_US, PATIENCE_US, TOLD_US, Chain, Then
+from headspar.node.chain import DELIVERY_US, MAX_WAIT_US, PATIENCE_US, RECONNECT_US, Chain, Then
 
 
 def settings(asked: bool = True, every_s: float = 10.0, grace_s: float = 1.0) -> Settings:
@@ -15,7 +15,7 @@
 
 def test_a_silent_call_is_asked_anew_once() -> None:
     chain = Chain(settings())
-    assert chain.silent() and chain.resumed  # in place of the one that went silent
+    assert chain.silent() and chain.retried  # replaces the call that timed out
     assert not chain.silent()
     chain.answered()
     assert chain.silent()
@@ -24,33 +24,33 @@
 @pytest.mark.parametrize(("asked", "then", "watching"), [(True, Then.TELL, False), (False, Then.AGAIN, True)])
 def test_a_failure_ends_the_chain_only_where_discovery_is_asked(asked: bool, then: Then, watching: bool) -> None:
     chain = Chain(settings(asked))
-    assert chain.failed() is Then.NOTHING  # nobody watches
+    assert chain.failed() is Then.NOTHING  # no watch is active
     chain.watching = True
     chain.silent()
-    assert chain.failed() is then and chain.watching is watching and not chain.resumed
+    assert chain.failed() is then and chain.watching is watching and not chain.retried
 
 
 def test_at_another_address_the_whole_list_is_asked_for_until_it_came() -> None:
     chain = Chain(settings())
     chain.silent()
     chain.moved()
-    assert chain.watching and chain.first and chain.whole and not chain.resumed
+    assert chain.watching and chain.first and chain.whole and not chain.retried
     chain.failed()
-    assert chain.whole  # what the old one would have told is still to be heard
+    assert chain.whole  # what the old address would have sent is still missing
     chain.answered()
     assert not chain.first and not chain.whole
 
 
 def test_waits_leave_time_for_patience_and_one_more_call_within_what_counts_as_told() -> None:
     chain = Chain(settings(grace_s=2.0))
-    assert chain.wait_us == chain.shortest_us == TOLD_US + 2_000_000 - PATIENCE_US - ANEW_US
+    assert chain.wait_us == chain.min_wait_us == DELIVERY_US + 2_000_000 - PATIENCE_US - RECONNECT_US
     waits = [chain.wait_us]
     for _ in range(3):
         chain.failed()
         waits.append(chain.wait_us)
-    assert waits[1] == 2 * waits[0] and waits[-1] == chain.longest_us == 10_000_000
+    assert waits[1] == 2 * waits[0] and waits[-1] == chain.max_wait_us == 10_000_000
     for _ in range(50):
         chain.answered()
-    assert chain.wait_us == chain.shortest_us
+    assert chain.wait_us == chain.min_wait_us
     chain.change(settings(every_s=100.0, grace_s=60.0))
-    assert chain.wait_us == chain.shortest_us == chain.longest_us == LONGEST_US
+    assert chain.wait_us == chain.min_wait_us == chain.max_wait_us == MAX_WAIT_US
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side of the real program: what is taken, what is answered at once, what never goes on."""
+"""The client side of the whole program: which requests are forwarded, and which are answered at once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         assert line == "POST /api/7f3a%20c?x=1&y=%2F HTTP/1.1"
         assert (headers["x-call-id"], headers["idempotency-key"], sent) == ("id-77", "k-5", body)
         assert 0 < int(headers["x-budget"].rstrip("u")) <= 10_000_000
-        assert client.ask("look").status == 200  # on the same connections, on both sides
+        assert client.ask("look").status == 200  # over the same connections on both sides
         assert node.backends[0].accepted == 1
         line, headers, _ = node.backends[0].requests[1]
         assert line == "GET /api/k1 HTTP/1.1" and "idempotency-key" not in headers
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("value", [" 10000m", "10000m \t", "10000.0m", "10000000u"])
 def test_white_space_round_a_value_is_no_part_of_it(value: str) -> None:
-    """One client in ten of a recorded day padded its headers; its requests were answered 400."""
+    """One client in ten of a recorded day padded its header values, and its requests were answered with 400."""
     with running(None) as node:
         got = node.client().ask(budget=value, X_Call_Id="  padded-id  ")
         assert got.status == 200
@@ -113,12 +113,12 @@
 
 @pytest.mark.parametrize("rest", [b"x", b"Z"])
 def test_a_body_that_never_ends_gives_back_what_was_set_aside_for_it(rest: bytes) -> None:
-    """Clients that left within a body kept its part of the budget: bodies were turned away for good."""
+    """Clients that disconnected within a body kept their part of the budget, until all bodies were refused."""
     with running(None, memory_mb=64) as node:
         for _ in range(20):
             client = node.client()
             head = client.head("pay", bytes(1_000_000))
-            if rest == b"Z":  # no chunk's length: refused in the middle of a body
+            if rest == b"Z":  # an invalid chunk size: rejected within a body
                 head = head.replace(b"Content-Length: 1000000", b"Transfer-Encoding: chunked")
                 client.send(head + b"f4240\r\n" + bytes(1_000_000) + b"\r\n" + rest)
                 assert client.read().status == 400
@@ -158,7 +158,7 @@
         client.send(client.head())
         wait_for(lambda: node.backends[0].requests)
         client.close()
-        wait_for(lambda: node.backends[0].ended, 8)  # not by its deadline
+        wait_for(lambda: node.backends[0].ended, 8)  # well before its deadline
         assert node.health() == 200
 
 
@@ -171,7 +171,7 @@
 
 
 def test_beyond_the_limit_idle_connections_go_and_busy_ones_are_answered() -> None:
-    """Every accepted request is answered, whatever the number of connections; descriptors stay bounded."""
+    """Every accepted request is answered, whatever the number of connections, and descriptors stay bounded."""
     def slowly(sock: socket.socket, n: int) -> None:
         time.sleep(2)
         sock.sendall(answer())
@@ -191,7 +191,7 @@
             try:
                 answers.append(client.read().status)
             except (OSError, ValueError):
-                answers.append(0)  # closed between requests, before it sent anything
+                answers.append(0)  # closed while idle, before it sent a request
             except Exception as error:
                 assert "RemoteDisconnected" in type(error).__name__
                 answers.append(0)
@@ -201,7 +201,7 @@
 
 
 def test_heads_that_trickle_in_do_not_take_all_connections() -> None:
-    """Each sends a byte now and then: no stall, but far slower than the 2 s that a head may take."""
+    """Each connection sends a byte now and then: that is no stall, but far slower than the 2 s allowed for a head."""
     with running(None, sockets=128) as node:
         creeping = [node.client() for _ in range(60)]
         for client in creeping:
@@ -211,7 +211,7 @@
             for client in creeping:
                 with contextlib.suppress(OSError):
                     client.send(b"a")
-        # Those beyond the limit were over from the start; the others must make room now.
+        # Connections beyond the limit are refused from the start; the others must make room now.
         assert [node.client().ask().status for _ in range(20)] == [200] * 20
         assert node.files() <= 128
 
@@ -238,7 +238,7 @@
         assert len(set(bodies)) == 100
 
 
-# ---------------------------------------------------------------- an upgrade that nobody offers
+# ---------------------------------------------------------------- upgrades, which the node does not offer
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -250,7 +250,7 @@
 def test_an_upgrade_is_ignored_and_its_body_hides_no_request(
     protocol: str, connection: str, chunked: bool, pieces: int
 ) -> None:
-    """The parser stops at an upgrade: the body was read as the next request and passed on."""
+    """The parser stops at an upgrade, so its body was parsed as the next request and forwarded."""
     with running(None) as node:
         client = node.client()
         hidden = client.head(path="/api/evil")
@@ -292,7 +292,7 @@
         assert len(node.backends[0].requests) == 1
 
 
-# ---------------------------------------------------------------- what contradicts its class
+# ---------------------------------------------------------------- requests that contradict their class
 
 
 @pytest.mark.parametrize(("cls", "method", "key", "status"), [
@@ -314,12 +314,12 @@
             f"X-Budget: 9000m\r\n{lines}\r\n{'{}' if method == 'POST' else ''}".encode()
         )
         assert client.read().status == status
-        assert client.ask().status == 200  # the connection goes on
+        assert client.ask().status == 200  # the connection stays open
         assert len(node.backends[0].requests) == (2 if status == 200 else 1)
 
 
 def test_a_payment_without_its_key_is_never_sent_before_servers_that_reset() -> None:
-    """It was taken for repeatable, and one went out six times, each of which may have run."""
+    """Without its key the request counted as retryable and was sent six times, and each attempt may have run."""
     def script(sock: socket.socket, n: int) -> bool:
         reset(sock)
         return False
@@ -330,7 +330,7 @@
         assert sum(len(b.requests) for b in node.backends) == 0
 
 
-# ---------------------------------------------------------------- headers that may come once
+# ---------------------------------------------------------------- headers that may occur only once
 
 
 @pytest.mark.parametrize("name", [
@@ -357,13 +357,13 @@
         assert client.ask(Host="").status == 400
         assert client.ask().status == 200
         assert len(node.backends[0].requests) == 1
-        client.send(b"GET /healthz HTTP/1.1\r\n\r\n")  # a check by hand has no effect and may be terse
+        client.send(b"GET /healthz HTTP/1.1\r\n\r\n")  # a health check without headers is accepted
         assert client.read().status == 200
 
 
 @pytest.mark.parametrize("coding", ["gzip, chunked", "deflate,chunked", "chunked;q=1"])
 def test_a_transfer_coding_that_is_not_undone_goes_no_further(coding: str) -> None:
-    """Its body went on with a length and without its coding (RFC 9112 section 6.1 has 501)."""
+    """The body was forwarded with a length and without its coding (RFC 9112 section 6.1 recommends 501)."""
     with running(None) as node:
         client = node.client()
         client.send(client.head("pay", Transfer_Encoding=coding, Content_Length="") + b"2\r\n{}\r\n0\r\n\r\n")
--- a/tests/test_due.py
+++ b/tests/test_due.py
@@ -1,4 +1,4 @@
-"""What is due is done when it is due, whatever else comes up meanwhile: deadlines above all."""
+"""Timers and deadlines of the node fire on time, even when others are added meanwhile."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Loop:
-    """A loop whose time stands until it is moved."""
+    """Stub of the event loop with a clock that only the test advances."""
 
     def __init__(self, now: int) -> None:
         self.now = now
@@ -44,64 +44,65 @@
         self.now = until
 
 
-def fresh(monkeypatch: pytest.MonkeyPatch) -> tuple[core.Node, Loop, list[tuple[int, int]]]:
-    """A node whose module asks for nothing, its loop, and when which timer came to the module."""
+def make_node(monkeypatch: pytest.MonkeyPatch) -> tuple[core.Node, Loop, list[tuple[int, int]]]:
+    """Return a node whose balancer takes no action, its loop, and a log of (time, token) of the timers that fired."""
     loop = Loop(1_000_000)
     monkeypatch.setattr(core, "now_us", lambda: loop.now)
     node = core.Node(cast(Any, SimpleNamespace(settings=settings(), seed=1)), cast(Any, loop))
-    came: list[tuple[int, int]] = []
+    fired: list[tuple[int, int]] = []
 
     def handle(now: int, events: list[Any]) -> list[Any]:
-        came.extend((now, event.token) for event in events if isinstance(event, TimerFired))
+        fired.extend((now, event.token) for event in events if isinstance(event, TimerFired))
         return []
 
     monkeypatch.setattr(node.balancer, "handle", handle)
-    return node, loop, came
+    return node, loop, fired
 
 
 def test_what_comes_up_while_something_is_worked_off_puts_off_nothing_that_is_due_before_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was done up to the new one's time late, and answers came after their time or never."""
-    node, loop, came = fresh(monkeypatch)
-    heard = node.balancer.handle
+    """A timer added while others expired delayed an earlier one until its own time, so answers were late or
+    missing."""
+    node, loop, fired = make_node(monkeypatch)
+    original_handle = node.balancer.handle
 
-    def asks_again(now: int, events: list[Any]) -> list[Any]:
-        heard(now, events)
+    def handle_and_add_timer(now: int, events: list[Any]) -> list[Any]:
+        original_handle(now, events)
         if any(isinstance(event, TimerFired) and event.token == 1 for event in events):
-            node._at(now + 200_000, core.TIMER, 3, "")
+            node._schedule(now + 200_000, core.TIMER, 3, "")
         return []
 
-    monkeypatch.setattr(node.balancer, "handle", asks_again)
+    monkeypatch.setattr(node.balancer, "handle", handle_and_add_timer)
     post = node.post
 
-    def at_once(event: Any) -> None:  # as where a deadline has passed: the module hears of it within this round
+    def post_and_settle(event: Any) -> None:  # as for an expired deadline: the balancer runs at once
         post(event)
         node.settle()
 
-    monkeypatch.setattr(node, "post", at_once)
-    node._at(1_010_000, core.TIMER, 1, "")
-    node._at(1_030_000, core.TIMER, 2, "")
+    monkeypatch.setattr(node, "post", post_and_settle)
+    node._schedule(1_010_000, core.TIMER, 1, "")
+    node._schedule(1_030_000, core.TIMER, 2, "")
     loop.run(1_300_000)
-    assert [token for _, token in came] == [1, 2, 3]
-    assert came[1][0] <= 1_030_000 + core.GRAIN_US and 1_210_000 <= came[2][0] <= 1_215_000
+    assert [token for _, token in fired] == [1, 2, 3]
+    assert fired[1][0] <= 1_030_000 + core.TIMER_RESOLUTION_US and 1_210_000 <= fired[2][0] <= 1_215_000
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_nothing_is_early_and_nothing_later_than_the_grain(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
-    node, loop, came = fresh(monkeypatch)
+    node, loop, fired = make_node(monkeypatch)
     rng = random.Random(seed)
     due: dict[int, int] = {}
 
     def more() -> None:
         token = len(due)
         due[token] = loop.now + rng.choice((1_000, 5_000, 20_000, 200_000)) + rng.randint(0, 3_000)
-        node._at(due[token], core.TIMER, token, "")
+        node._schedule(due[token], core.TIMER, token, "")
 
-    heard = node.balancer.handle
+    original_handle = node.balancer.handle
 
     def handle(now: int, events: list[Any]) -> list[Any]:
-        heard(now, events)
+        original_handle(now, events)
         if len(due) < 300:
             for _ in range(rng.randint(0, 3)):
                 more()
@@ -110,15 +111,15 @@
     monkeypatch.setattr(node.balancer, "handle", handle)
     post = node.post
 
-    def at_once(event: Any) -> None:
+    def post_and_settle(event: Any) -> None:
         post(event)
         node.settle()
 
-    monkeypatch.setattr(node, "post", at_once)
+    monkeypatch.setattr(node, "post", post_and_settle)
     for _ in range(20):
         more()
         loop.run(loop.now + rng.randint(0, 30_000))
     loop.run(loop.now + 1_000_000)
-    assert len(came) == len(due) >= 100
-    late = [now - due[token] for now, token in came]
-    assert min(late) >= 0 and max(late) <= 2 * core.GRAIN_US
+    assert len(fired) == len(due) >= 100
+    late = [now - due[token] for now, token in fired]
+    assert min(late) >= 0 and max(late) <= 2 * core.TIMER_RESOLUTION_US
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The real program as a whole: its start, discovery, peers, restarts."""
+"""The whole program: start, discovery, peers, restarts."""
 
 from __future__ import annotations
 
@@ -113,7 +113,7 @@
         before = len(two.requests)
         assert all(client.ask().status == 200 for _ in range(12))
         assert len(two.requests) == before
-        node.discovery.tell([two.row()], full=True)  # not named: gone
+        node.discovery.tell([two.row()], full=True)  # not listed: gone
         wait_for(lambda: any("since=8" in call for call in node.discovery.calls))
         time.sleep(0.1)
         before = len(one.requests)
@@ -125,7 +125,8 @@
     with running(None) as node:
         wait_for(lambda: len(node.discovery.calls) >= 4)
         assert node.discovery.accepted == 1
-        # Each waits as long as the settings allow a node to stay silent; what is between is no wait.
+        # Each call waits for the time that the settings allow a node to stay silent; the gap between calls is no
+        # pause.
         gaps = [b - a for a, b in zip(node.discovery.times, node.discovery.times[1:], strict=False)]
         assert min(gaps) > 0.5
 
@@ -171,14 +172,14 @@
 
 
 def test_what_a_silent_connection_holds_back_is_heard_on_a_new_one_in_time() -> None:
-    """A change counts as told 2 s after discovery knows it, and a drain's grace is 1 s."""
+    """Discovery counts a change as delivered 2 s after it is known, and the grace of a drain is 1 s."""
     with running(None, None, ask_every_us=10_000_000) as node:
         wait_for(lambda: len(node.discovery.calls) > 2)
         node.discovery.mute = node.discovery.open[:]
         one = node.backends[0]
         node.discovery.tell([one.row(lifecycle="draining")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls), 6)
-        assert "asking anew" in node.log.read_text()
+        assert "retrying on a new connection" in node.log.read_text()
         time.sleep(0.1)
         before = len(one.requests)
         client = node.client()
@@ -188,7 +189,7 @@
 
 @pytest.mark.parametrize("news", [False, True])
 def test_a_watch_that_discovery_ends_is_begun_anew_at_once(news: bool) -> None:
-    """An end of the connection hid the answer before it, or the failure, until the wait had run out."""
+    """When the connection ended, the answer before it, or the failure, was ignored until the wait had run out."""
     with running(None, None, ask_every_us=60_000_000) as node:
         one = node.backends[0]
         wait_for(lambda: node.discovery.calls)
@@ -243,8 +244,9 @@
 
 
 def test_a_start_in_unix_milliseconds_is_found_on_the_nodes_own_clock() -> None:
-    """Starts lay in the far future, so what had once started was taken for cold, and held back, for good."""
-    long_ago = int(1000 * (time.time() - 60))  # three times as long as a backend takes to be warm
+    """Unix times read as the node's monotonic clock lay far in the future, so such backends stayed cold and were
+    rationed."""
+    long_ago = int(1000 * (time.time() - 60))  # three times the slow-start time
     backend = Backend()
     node = Node([backend], known=[backend.row(startedAtMs=long_ago)])
     try:
@@ -255,7 +257,7 @@
 
 
 def test_sighup_moves_the_watch_to_the_new_address_of_discovery() -> None:
-    """SIGHUP had no handler and ended the node, with every request that it had taken."""
+    """Without a handler SIGHUP ended the node, together with all requests in progress."""
     def slowly(sock: socket.socket, n: int) -> None:
         time.sleep(0.3)
         sock.sendall(answer())
@@ -264,7 +266,7 @@
         one, two = node.backends
         wait_for(lambda: node.discovery.calls)
         second = Discovery([one.row(lifecycle="draining"), two.row()])
-        second.generation = 2  # a discovery of its own counts in its own way
+        second.generation = 2  # each discovery has its own generations
         try:
             busy = [node.client() for _ in range(6)]
             for client in busy:
@@ -275,7 +277,7 @@
             assert [client.read().status for client in busy] == [200] * 6
             before = len(one.requests)
             assert all(busy[0].ask().status == 200 for _ in range(12))
-            assert len(one.requests) == before  # what only the new one knows
+            assert len(one.requests) == before  # only the new discovery reports this drain
             second.tell([one.row(), two.row(lifecycle="draining")])
             wait_for(lambda: any("since=3" in call for call in second.calls))
             before = len(two.requests)
@@ -335,7 +337,8 @@
 
 
 def test_a_nodes_first_answers_do_not_make_it_refuse() -> None:
-    """What a new node can carry was learned from its first few answers: late or full ones closed it."""
+    """The node estimated its capacity from its first few answers: if these were late or rejections, it refused
+    requests."""
     full = answer(503, b"", X_Rejected="1")
 
     def once_full(sock: socket.socket, n: int) -> None:
@@ -365,7 +368,7 @@
         wait_for(lambda: len(node.backends[0].requests) == 5)
         node.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
-        late = node.client()  # the front has not noticed yet
+        late = node.client()  # the load balancer in front has not noticed the shutdown yet
         late.send(late.head(budget="3000m"))
         node.process.send_signal(signal.SIGTERM)
         for client in (*busy, late):
@@ -386,7 +389,7 @@
         wait_for(lambda: node.backends[0].requests)
         began = time.monotonic()
         assert node.stop() == 0
-        assert time.monotonic() - began < 10  # by itself, with 57 s of a request left
+        assert time.monotonic() - began < 10  # ends by itself although a request has 57 s left
 
 
 def test_healthz_says_no_while_it_ends() -> None:
@@ -410,15 +413,15 @@
 
 @pytest.mark.parametrize(("script", "count"), [(None, 120), (lambda s, n: None, 24)])
 def test_a_request_that_is_over_is_held_no_longer(script: Script | None, count: int) -> None:
-    """Served requests stayed for good: in the end all were turned away as too many, or for their bodies."""
-    with running(script, None, memory_mb=64, most_held=30) as node:  # a silent one: second copies win
+    """Answered requests stayed in memory until new ones were refused, by their number or by the budget for bodies."""
+    with running(script, None, memory_mb=64, most_held=30) as node:  # no answer from the backend: hedged requests win
         client = node.client()
         kinds = [("look", b""), ("pay", bytes(1_000_000))]
         assert [client.ask(*kinds[n % 2]).status for n in range(count)] == [200] * count
 
 
 def test_backends_that_are_gone_are_forgotten() -> None:
-    """Ids are ever new: each that had ever been listed was kept for good."""
+    """Backends get new ids all the time, and each id ever listed stayed in memory."""
     with running(None) as node:
         one = node.backends[0]
         client = node.client()
@@ -453,7 +456,7 @@
             thread.start()
         for thread in threads:
             thread.join()
-        for _ in range(200):  # connections that come and go
+        for _ in range(200):  # short-lived connections
             node.client().close()
         wait_for(lambda: node.files() <= files + 10)
         assert node.rss_mb() < memory + 8
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Large bodies and answers, many at once, in little memory; bodies that come slowly and in small pieces."""
+"""Large bodies and answers, many at once, in little memory; bodies that arrive slowly and in small pieces."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 def test_bodies_that_have_not_come_yet_take_no_room() -> None:
-    """A body's whole length was set aside at its head: a few slow clients, and all others were turned away."""
+    """A body's whole length was reserved when its head arrived, so a few slow clients caused all others to be
+    refused."""
     with running(None, memory_mb=64, ops=True) as node, contextlib.ExitStack() as stack:
         for _ in range(20):
             slow = stack.enter_context(node.client())
@@ -32,7 +33,7 @@
                 client.send(chunk)
         assert client.read().status == 503
         assert node.call("/stats")[1]["replies"]["pay"]["overload"] == 1
-        with node.client() as after:  # its room is free again
+        with node.client() as after:  # its part of the budget has been given back
             assert after.ask("pay", b"y" * 15 * MB).status == 200
 
 
@@ -58,7 +59,7 @@
 
 
 def test_many_large_answers_at_once_to_slow_readers() -> None:
-    """Each reader has what has come; the rest waits in the backend, not in the node."""
+    """Each reader gets what has arrived; the rest stays in the backend, not in the node."""
     body = b"z" * 8 * MB
     with running(lambda sock, n: sock.sendall(answer(200, body)), memory_mb=80) as node:
         sizes: list[int] = []
@@ -94,7 +95,7 @@
     with running(script) as node, node.client() as client:
         client.send(client.head())
         got = b""
-        while len(got) < 100_000:  # before the backend has sent the rest
+        while len(got) < 100_000:  # before the backend sends the rest
             got += client.sock.recv(65536)
         more.set()
         while len(got) < 200_000:
@@ -105,7 +106,7 @@
 def test_two_processes_share_the_room_for_bodies() -> None:
     with running(None, memory_mb=64, ops=True) as node, node.client() as client:
         first = node.second()
-        assert client.ask("pay", b"x" * 15 * MB).status == 503  # beyond half of 22 MB
+        assert client.ask("pay", b"x" * 15 * MB).status == 503  # more than half of the budget of 22 MB
         first.terminate()
         assert first.wait(PATIENCE) == 0
         wait_for(lambda: "hand-over: over" in node.log.read_text())
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,5 @@
-"""A process that stood still and goes on: what it then does with requests, lists, connections and peers' words."""
+"""After a process pause: how the process treats requests, lists, connections and peer messages that waited in its
+sockets."""
 
 from __future__ import annotations
 
@@ -11,31 +12,33 @@
 
 from headspar.interface import ClientGone
 from headspar.node import core
-from headspar.node.standstill import BACKLOG_US, LEAST_US, Standstill
+from headspar.node.standstill import BACKLOG_US, MIN_PAUSE_US, PauseDetector
 from tests.helpers import full, settings
 from tests.loopback import Client, running, wait_for
 
-STOOD_S = LEAST_US / 1e6 + 0.6
+PAUSE_S = MIN_PAUSE_US / 1e6 + 0.6
 
 
 def test_it_is_noticed_once_by_the_missing_beats() -> None:
-    s = Standstill(0)
+    s = PauseDetector(0)
     for now in range(0, 5_000_000, 200_000):
-        assert not s.noticed(now)
+        assert not s.detect(now)
         s.beats(now)
-    back = 4_800_000 + 7_000_000
-    assert s.noticed(back) and not s.noticed(back + 1)
-    assert s.came(back) == s.came(back + BACKLOG_US - 1) == 4_800_000  # it may have lain there all the while
-    assert s.came(back + BACKLOG_US) == back + BACKLOG_US
-    assert s.stale(back) and not s.stale(back + BACKLOG_US)
+    resumed = 4_800_000 + 7_000_000
+    assert s.detect(resumed) and not s.detect(resumed + 1)
+    # may have arrived at any time in the pause
+    assert s.earliest_arrival(resumed) == s.earliest_arrival(resumed + BACKLOG_US - 1) == 4_800_000
+    assert s.earliest_arrival(resumed + BACKLOG_US) == resumed + BACKLOG_US
+    assert s.stale(resumed) and not s.stale(resumed + BACKLOG_US)
 
 
 def test_what_servers_took_is_counted_without_it() -> None:
-    s = Standstill(1_000_000)
-    assert s.noticed(9_000_000)
-    assert s.lasted(900_000, 9_010_000) == 110_000
-    assert s.lasted(8_999_000, 9_010_000) == 11_000  # sent afterwards
-    assert s.lasted(900_000, 9_000_000 + BACKLOG_US) == 8_200_000  # it ended afterwards: it did take so long
+    s = PauseDetector(1_000_000)
+    assert s.detect(9_000_000)
+    assert s.elapsed(900_000, 9_010_000) == 110_000
+    assert s.elapsed(8_999_000, 9_010_000) == 11_000  # sent after the pause
+    # ended after the backlog was read: the response really took this long
+    assert s.elapsed(900_000, 9_000_000 + BACKLOG_US) == 8_200_000
 
 
 def test_what_lay_there_longer_than_it_had_is_answered_at_once_and_sent_nowhere() -> None:
@@ -51,14 +54,14 @@
                 c.send(c.head("look", budget="15000m"))
             for c in (*late, *well):
                 c.arrived()
-            time.sleep(STOOD_S)
+            time.sleep(PAUSE_S)
         since = time.monotonic()
         assert [c.read().status for c in late] == [504] * 5
         assert time.monotonic() - since < 2.0
         assert [c.read().status for c in well] == [200] * 5
         assert sum(len(b.requests) for b in node.backends) == sent + 5
         assert node.log.read_text().count("stood still") == 1
-        assert all(c.ask().status == 200 for c in late)  # and it is itself again
+        assert all(c.ask().status == 200 for c in late)  # back to normal operation
 
 
 def test_a_drain_that_was_told_meanwhile_is_heard_before_anything_is_sent() -> None:
@@ -67,21 +70,21 @@
         wait_for(lambda: all(c.ask().status == 200 for c in clients) and all(b.requests for b in node.backends))
         drained = node.backends[0]
         asked = len(node.discovery.calls)
-        wait_for(lambda: len(node.discovery.calls) > asked)  # a watch has just begun, shorter than the standstill
+        wait_for(lambda: len(node.discovery.calls) > asked)  # a watch shorter than the pause has just begun
         with node.stopped():
-            for c in clients:  # these wait in its sockets, in front of the list
+            for c in clients:  # these wait in the sockets ahead of the list
                 c.send(c.head("look", budget="15000m"))
             for c in clients:
                 c.arrived()
             sent = len(drained.requests)
             node.discovery.tell([drained.row(lifecycle="draining")])
-            time.sleep(STOOD_S)
+            time.sleep(PAUSE_S)
         assert [c.read().status for c in clients] == [200] * 30
         assert len(drained.requests) == sent
 
 
 class Loop:
-    """A loop that only remembers."""
+    """Stub of the event loop that queues callbacks."""
 
     def __init__(self) -> None:
         self.soon: list[tuple[Any, ...]] = []
@@ -100,29 +103,29 @@
     monkeypatch.setattr(core, "now_us", lambda: clock[0])
     loop = Loop()
     node = core.Node(cast(Any, SimpleNamespace(settings=settings(), seed=1)), cast(Any, loop))
-    heard: list[list[str]] = []
+    handled: list[list[str]] = []
 
     def handle(now: int, events: list[Any]) -> list[Any]:
-        heard.append([type(event).__name__ for event in events])
+        handled.append([type(event).__name__ for event in events])
         return []
 
     monkeypatch.setattr(node.balancer, "handle", handle)
-    node.heard(1, b"abc")
+    node.on_peer_message(1, b"abc")
     loop.turn()
-    assert heard == [["PeerMessage"]]
+    assert handled == [["PeerMessage"]]
     clock[0] += 7_000_000
-    node.heard(1, b"abc")  # the first thing that it reads; nobody knows when it was said
+    node.on_peer_message(1, b"abc")  # the first data read after the pause; its age is unknown
     node.post(ClientGone("1"))
     node.post(full(1))
-    assert heard == [["PeerMessage"]]
-    for _ in range(3):  # rounds of the loop in which it reads on
-        assert len(heard) == 1
+    assert handled == [["PeerMessage"]]
+    for _ in range(3):  # rounds of the loop in which sockets are read
+        assert len(handled) == 1
         loop.turn()
-    assert heard[1:] == [["BackendList", "ClientGone"]]
+    assert handled[1:] == [["BackendList", "ClientGone"]]
     clock[0] += BACKLOG_US
-    node.heard(1, b"abc")
+    node.on_peer_message(1, b"abc")
     loop.turn()
-    assert heard[2:] == [["PeerMessage"]]
+    assert handled[2:] == [["PeerMessage"]]
 
 
 def test_a_short_stop_changes_nothing() -> None:
