--- a/headspar/node/clients.py
+++ b/headspar/node/clients.py
@@ -503,11 +503,11 @@
     def stream_write(self, data: bytes) -> None:
         self._write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
-    def stream_end(self, whole: bool) -> None:
+    def stream_end(self, complete: bool) -> None:
         """End a streamed answer; an incomplete one must be recognisable as such to the client."""
         self.source = None
         self.server.streaming.pop(self, None)
-        if not whole:
+        if not complete:
             self.current = None
             if self.transport is not None:
                 self.transport.abort()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -208,18 +208,18 @@
         self.full = False
         self.raw: bytes | None = None
         self.silent = False
-        self.ending = False  # close the connection after each answer
-        self.mute: list[socket.socket] = []  # connections that silently stop answering
+        self.closes_after_answer = False  # close the connection after each answer
+        self.unresponsive: list[socket.socket] = []  # connections that silently stop answering
         self.calls: list[str] = []
         self.times: list[float] = []
-        self.news = threading.Condition()
+        self.changed = threading.Condition()
         super().__init__()
 
     def tell(self, rows: list[dict[str, Any]], full: bool = False) -> None:
-        with self.news:
+        with self.changed:
             self.changes, self.full = rows, full
             self.generation += 1
-            self.news.notify_all()
+            self.changed.notify_all()
 
     def talk(self, conn: socket.socket) -> None:
         rest = b""
@@ -240,14 +240,14 @@
             if self.raw is not None:
                 conn.sendall(self.raw)
                 continue
-            with self.news:
-                self.news.wait_for(lambda since=since: self.generation > since, wait)  # type: ignore[misc]
-                if self.silent or conn in self.mute:
+            with self.changed:
+                self.changed.wait_for(lambda since=since: self.generation > since, wait)  # type: ignore[misc]
+                if self.silent or conn in self.unresponsive:
                     continue
                 rows = self.changes if self.generation > since else []
                 body = {"generation": self.generation, "reset": self.full and bool(rows), "instances": rows}
             conn.sendall(answer(200, json.dumps(body).encode()))
-            if self.ending:
+            if self.closes_after_answer:
                 conn.shutdown(socket.SHUT_RDWR)
                 return
 
@@ -322,10 +322,10 @@
         self.ops = free_address()
         self.env["ROUTER_OPS"] = text(self.ops)
         self.start(healthy=False)
-        wait_for(self.says_yes)
+        wait_for(self.is_ready)
         return first
 
-    def says_yes(self) -> bool:
+    def is_ready(self) -> bool:
         assert self.process.poll() is None, self.log.read_text()
         try:
             return self.call("/healthcheck")[0] == 200
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -175,7 +175,7 @@
     """Discovery counts a change as delivered 2 s after it is known, and the grace of a drain is 1 s."""
     with running(None, None, ask_every_us=10_000_000) as node:
         wait_for(lambda: len(node.discovery.calls) > 2)
-        node.discovery.mute = node.discovery.open[:]
+        node.discovery.unresponsive = node.discovery.open[:]
         one = node.backends[0]
         node.discovery.tell([one.row(lifecycle="draining")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls), 6)
@@ -187,14 +187,14 @@
         assert len(one.requests) == before
 
 
-@pytest.mark.parametrize("news", [False, True])
-def test_a_watch_that_discovery_ends_is_begun_anew_at_once(news: bool) -> None:
+@pytest.mark.parametrize("changed", [False, True])
+def test_a_watch_that_discovery_ends_is_begun_anew_at_once(changed: bool) -> None:
     """When the connection ended, the answer before it, or the failure, was ignored until the wait had run out."""
     with running(None, None, ask_every_us=60_000_000) as node:
         one = node.backends[0]
         wait_for(lambda: node.discovery.calls)
-        if news:
-            node.discovery.ending = True
+        if changed:
+            node.discovery.closes_after_answer = True
             node.discovery.tell([one.row(lifecycle="draining")])
             wait_for(lambda: "Partial list 6" in node.log.read_text())
             wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
@@ -426,18 +426,18 @@
         one = node.backends[0]
         client = node.client()
 
-        def turn_over(rounds: range) -> None:
+        def replace_all(rounds: range) -> None:
             for n in rounds:
                 rows = [one.row(instanceId=f"s-{n}-{i}") for i in range(2500)]
-                for news in (rows, [dict(row, lifecycle="gone") for row in rows]):
-                    node.discovery.tell(news)
-                    heard = f"since={node.discovery.generation}&"
-                    wait_for(lambda heard=heard: any(heard in c for c in node.discovery.calls))  # type: ignore[misc]
+                for changed in (rows, [dict(row, lifecycle="gone") for row in rows]):
+                    node.discovery.tell(changed)
+                    call = f"since={node.discovery.generation}&"
+                    wait_for(lambda call=call: any(call in c for c in node.discovery.calls))  # type: ignore[misc]
                 assert client.ask().status == 200
 
-        turn_over(range(2))
+        replace_all(range(2))
         before = node.rss_mb()
-        turn_over(range(2, 14))
+        replace_all(range(2, 14))
         assert node.rss_mb() < before + 10
 
 
