--- a/headspar/node/core.py
+++ b/headspar/node/core.py
@@ -74,7 +74,7 @@
     __slots__ = (
         "key", "client", "head", "call_id", "cls", "tenant", "target_key", "budget_us", "hint_us",
         "is_repeat", "extra", "body", "size", "deadline", "live", "attempts", "outstanding", "stream",
-        "client_left", "max_attempts", "proven_only", "came",
+        "client_left", "attempt_limit", "proven_only", "came",
     )
 
     def __init__(self, client: Client) -> None:
@@ -95,7 +95,7 @@
         self.deadline = 0
         self.live = False
         self.client_left = False  # the client disconnected before it was answered
-        self.max_attempts = 0  # maximum number of attempts, by the settings at its arrival
+        self.attempt_limit = 0  # maximum number of attempts, by the settings at its arrival
         self.proven_only = True  # whether it may use only connections proven alive, by its class at its arrival
         self.attempts: list[Attempt] = []
         self.outstanding = 0
@@ -252,7 +252,7 @@
         self.serial += 1
         r.key = str(self.serial)
         r.live = True
-        r.max_attempts = self.settings.max_attempts
+        r.attempt_limit = self.settings.max_attempts
         r.proven_only = r.cls not in self.backends.repeatable
         self.requests[r.key] = r
         if r.deadline <= now:  # it waited in the socket during a pause for longer than its budget
@@ -375,7 +375,7 @@
         attempt = Attempt(r, len(r.attempts), action.backend, now, action.start_by_us)
         r.attempts.append(attempt)
         r.outstanding += 1
-        if not r.live or now >= r.deadline or attempt.number >= r.max_attempts:
+        if not r.live or now >= r.deadline or attempt.number >= r.attempt_limit:
             self.end(attempt, Outcome.MOOT)
             return
         since = self.reach.draining.get(action.backend)
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -150,7 +150,7 @@
                 self.giver = Giver(self, loop, path)
                 self.server.on_idle = self.giver.changed
             except OSError as error:
-                node.log(f"hand-over: upgrades from this process will drop connections: {path}: {error.strerror}")
+                node.log(f"hand-over: upgrades from this process may drop connections: {path}: {error.strerror}")
         self._sweep()
         self._maintain()
         if self.snapshots is not None:
