--- a/headspar/node/core.py
+++ b/headspar/node/core.py
@@ -133,7 +133,7 @@
         self.most_held = config.settings.most_held
         self.serial = 0
         self.events: list[Event] = []
-        self.turn_due = False
+        self.processing_scheduled = False
         self.due: list[tuple[int, int, int, str]] = []  # heap of (time, kind, number, request's key)
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
@@ -174,15 +174,15 @@
     def post(self, event: Event) -> None:
         """Queue an event; the balancer gets it with the others of this loop iteration."""
         self.events.append(event)
-        if not self.turn_due:
-            self.turn_due = True
-            self.loop.call_soon(self._turn)
+        if not self.processing_scheduled:
+            self.processing_scheduled = True
+            self.loop.call_soon(self._process_events)
 
-    def settle(self) -> None:
+    def flush_events(self) -> None:
         """Pass the queued events to the balancer now."""
-        self._turn()
+        self._process_events()
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         """Record a heartbeat; called several times a second."""
         self.standstill.beats(self._check_pause())
 
@@ -196,20 +196,20 @@
     def _on_pause_end(self, now: int) -> None:
         """A process pause has ended: read what has arrived meanwhile, lists first, before any decision."""
         self.log(f"stood still for {(now - self.standstill.since) / 1e6:.1f} s")
-        self.lists_first = self.turn_due = True
+        self.lists_first = self.processing_scheduled = True
         # Each hop is one iteration of the loop, in which it reads its sockets.
-        self.loop.call_soon(self.loop.call_soon, self.loop.call_soon, self._first_turn_after_pause)
+        self.loop.call_soon(self.loop.call_soon, self.loop.call_soon, self._process_events_after_pause)
 
-    def _first_turn_after_pause(self) -> None:
+    def _process_events_after_pause(self) -> None:
         self.lists_first = False
         self.events.sort(key=lambda event: not isinstance(event, BackendList))
-        self._turn()
+        self._process_events()
 
-    def _turn(self) -> None:
+    def _process_events(self) -> None:
         now = self._check_pause()
         if self.lists_first:
             return
-        self.turn_due = False
+        self.processing_scheduled = False
         events, self.events = self.events, []
         if not events:
             return
@@ -457,7 +457,7 @@
                 if r.stream is not attempt:
                     self.end(attempt, Outcome.TIMEOUT)
         if overdue:
-            self._turn()
+            self._process_events()
             for r in overdue:
                 if r.live:
                     self.answer(r, 504)
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -135,7 +135,7 @@
             node.restore(beliefs.experience, soon=taken is not None)
             node.backends.plan.recall(beliefs.learned, now_us())
         node.standstill.beats(now_us())
-        node.settle()  # the balancer must have its list of servers before the node reports ready
+        node.flush_events()  # the balancer must have its list of servers before the node reports ready
         if config.ops:
             self.ops = operators.Listener(self.calls, loop, bind_socket(config.ops))
         await self._listen()
@@ -220,7 +220,7 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _maintain(self) -> None:
-        self.node.beat()
+        self.node.heartbeat()
         self.node.backends.tend(now_us())
         self.server.check_clients(now_us())
         self.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -37,8 +37,8 @@
 SHAKES = planted("connections/plan.py", '        """The attempt on a connection has ended in order',
                  '        keep = False\n        """The attempt on a connection has ended in order')
 # The module hears of everything a tenth of a second late.
-DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
-                  "            self.loop.call_later(0.1, self._turn)\n")
+DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._process_events)\n",
+                  "            self.loop.call_later(0.1, self._process_events)\n")
 
 
 # What one node of few requests can be told to be within, in some seconds.
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -207,7 +207,7 @@
 DEAF_TO_TERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
                        "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
 SPEAKS_OTHERWISE = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
-NO_START = planted("process.py", "        node.settle()", "        raise OSError(5, 'planted')")
+NO_START = planted("process.py", "        node.flush_events()", "        raise OSError(5, 'planted')")
 
 
 def test_generations_that_do_not_start_die_hang_or_accept_nothing_are_taken_back(tmp_path: Path) -> None:
--- a/tests/test_due.py
+++ b/tests/test_due.py
@@ -78,7 +78,7 @@
 
     def post_and_settle(event: Any) -> None:  # as for an expired deadline: the balancer runs at once
         post(event)
-        node.settle()
+        node.flush_events()
 
     monkeypatch.setattr(node, "post", post_and_settle)
     node._schedule(1_010_000, core.TIMER, 1, "")
@@ -113,7 +113,7 @@
 
     def post_and_settle(event: Any) -> None:
         post(event)
-        node.settle()
+        node.flush_events()
 
     monkeypatch.setattr(node, "post", post_and_settle)
     for _ in range(20):
