--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -37,8 +37,8 @@
 SHAKES = planted("connections/plan.py", '        """Records that the attempt on a connection was answered',
                  '        keep = False\n        """Records that the attempt on a connection was answered')
 # The module hears of everything a tenth of a second late.
-DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
-                  "            self.loop.call_later(0.1, self._turn)\n")
+DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._process_events)\n",
+                  "            self.loop.call_later(0.1, self._process_events)\n")
 
 
 # What one node of few requests can be told to be within, in some seconds.
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -199,15 +199,15 @@
     assert change(run).state is State.TAKEN_BACK
 
 
-DIES = planted("process.py", "        self._sweep()\n        self._tend()\n        if self.keeping",
-               "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._tend()\n"
-               "        if self.keeping")
+DIES = planted("process.py", "        self._sweep()\n        self._maintain()\n        if self.snapshots",
+               "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._maintain()\n"
+               "        if self.snapshots")
 MUTE = planted("process.py", "        await self._listen()\n        node.standstill",
                "        self.socket.listen(64)\n        node.standstill")
 DEAF_TO_TERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
                        "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
 SPEAKS_OTHERWISE = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
-NO_START = planted("process.py", "        node.settle()", "        raise OSError(5, 'planted')")
+NO_START = planted("process.py", "        node.flush_events()", "        raise OSError(5, 'planted')")
 
 
 def test_generations_that_do_not_start_die_hang_or_accept_nothing_are_taken_back(tmp_path: Path) -> None:
