--- a/headspar/rollout/__init__.py
+++ b/headspar/rollout/__init__.py
@@ -1,6 +1,7 @@
-"""A change of program or settings over the whole fleet, in stages, by one controller at a time.
+"""Staged rollout of a change of program or settings over the fleet, led by one controller at a time.
 
-Without I/O or clock: ``stages`` (which nodes, in which order), ``limits`` (how many may be out, and where), ``state``
-(the table of a change, and what is to be done about each node).  With I/O: ``record`` (SQLite: intent before the
-action, outcome after it; the lease and its epoch), ``host`` (the controller), ``cli`` (for people).
+Modules without I/O or clock: ``stages`` (which nodes change in which order), ``limits`` (how many nodes may be out at
+once, and where) and ``state`` (a change's state machine and the commands that each node needs).  Modules with I/O:
+``record`` (SQLite store of intents, outcomes and the lease with its epoch), ``host`` (the controller) and ``cli``
+(the command line).
 """
--- a/headspar/rollout/fleet.py
+++ b/headspar/rollout/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet file: which keepers there are, and where they listen.
+"""The fleet file, which lists the nodes with the addresses of their keepers.
 
     [[node]]
     name = "n-1"
@@ -14,15 +14,15 @@
 
 from headspar.config import ConfigError, parse_address
 
-MOST_NODES = 5_000
+MAX_NODES = 5_000
 
 
 class FleetError(Exception):
-    """A fleet file that can't be used; the text is one line that names the field."""
+    """The fleet file is invalid; the message is one line that names the field."""
 
 
 class Member(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A node and its keeper."""
+    """A node, its site and its keeper's address (host:port)."""
 
     name: str
     site: str
@@ -30,19 +30,19 @@
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All of them."""
+    """The contents of a fleet file."""
 
     node: list[Member]
 
 
 def parse(text: str) -> list[Member]:
-    """The members of a fleet file, checked."""
+    """Parse and validate a fleet file; raises ``FleetError``."""
     try:
         members = msgspec.toml.decode(text, type=Fleet).node
     except msgspec.MsgspecError as error:
         raise FleetError(str(error)) from None
-    if not 0 < len(members) <= MOST_NODES:
-        raise FleetError(f"node: needs 1 to {MOST_NODES} of them, not {len(members)}")
+    if not 0 < len(members) <= MAX_NODES:
+        raise FleetError(f"node: expected 1 to {MAX_NODES} nodes, got {len(members)}")
     for i, member in enumerate(members):
         if not member.name or not member.site:
             raise FleetError(f"node[{i}]: name and site must not be empty")
@@ -50,21 +50,21 @@
             parse_address(member.keeper, f"node[{i}].keeper")
         except ConfigError as error:
             raise FleetError(str(error)) from None
-    for what in ("name", "keeper"):
-        values = [getattr(member, what) for member in members]
-        twice = next((v for v in values if values.count(v) > 1), None) if len(set(values)) < len(values) else None
-        if twice is not None:
-            raise FleetError(f"node.{what}: {twice!r} stands there twice")
+    for key in ("name", "keeper"):
+        values = [getattr(member, key) for member in members]
+        duplicate = next((v for v in values if values.count(v) > 1), None) if len(set(values)) < len(values) else None
+        if duplicate is not None:
+            raise FleetError(f"node.{key}: {duplicate!r} is not unique")
     return members
 
 
 def load(path: Path) -> list[Member]:
-    """Read the file; ``FleetError`` names it and the field."""
+    """Read and parse the file; ``FleetError`` names the file and the field."""
     try:
         return parse(path.read_text())
     except OSError as error:
         raise FleetError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise FleetError(f"{path}: no UTF-8 text") from None
+        raise FleetError(f"{path}: not UTF-8 text") from None
     except FleetError as error:
         raise FleetError(f"{path}: {error}") from None
--- a/headspar/rollout/judge/__init__.py
+++ b/headspar/rollout/judge/__init__.py
@@ -1,6 +1,6 @@
-"""Is a stage worse?  What old and new nodes did in the same seconds, and whether to go on, wait, pause or take back.
+"""Canary analysis of a stage: compares old and new nodes over the same seconds and gives a verdict.
 
-``intake`` turns nodes' running counts into what each did, whatever is lost, late, repeated or reset by a restart;
-``compare`` has the statistics; ``judge`` the verdicts, ``power`` what a stage could see at all.  All without I/O and
-clock; design: docs/design/judge.md.
+``intake`` turns the nodes' cumulative counters into per-interval counts, tolerating lost, late, duplicate and reset
+readings.  ``compare`` has the statistics, ``judge`` the verdicts (go on, wait, pause, take back), and ``power`` the
+smallest harm that a stage can detect.  No I/O, no clock.  Design: docs/design/judge.md.
 """
--- a/headspar/rollout/judge/before.py
+++ b/headspar/rollout/judge/before.py
@@ -1,7 +1,7 @@
-"""What each node did before anything was changed: what a change is held against.  Without I/O or clock.
+"""The baseline: each node's counts before the change, against which the change is judged.  No I/O, no clock.
 
-It is taken once, when the change begins, and lasts in the record: a controller that takes a change over in its middle
-has seen nothing of the time before.
+The baseline is taken once, when the change begins, and stored in the record, because a controller that takes over in
+the middle of a change has no readings from before it.
 """
 
 from __future__ import annotations
@@ -12,34 +12,40 @@
 
 from headspar.rollout.judge.intake import Intake
 
-PIECES = 8  # for placebos; a power of two, so that pieces may be taken together by pairs
+PIECES = 8  # for placebo comparisons; a power of two, so that pieces can be merged in pairs
 GAUGES = ("servers", "cold")
 
 
 class Before(msgspec.Struct, frozen=True):
-    """``pieces``: successive times of ``piece_s`` seconds, the newest first, each with every node's counts in it;
-    ``gauges``: what each node held at its end."""
+    """The baseline of a fleet.
+
+    ``pieces`` are consecutive periods of ``piece_s`` seconds, newest first, each with the counts by node and name.
+    ``gauges`` are each node's gauges at the end of the baseline.
+    """
 
     piece_s: float
     sites: dict[str, str]
     pieces: list[dict[str, dict[str, float]]]
     gauges: dict[str, dict[str, float]] = {}
 
-    def whole(self, node: str) -> dict[str, float]:
-        """A node's counts over all of it; ``spans``: the seconds that they were counted over."""
-        return add(piece[node] for piece in self.pieces if node in piece)
+    def totals(self, node: str) -> dict[str, float]:
+        """Return a node's counts over the whole baseline; ``spans`` is the number of seconds that they cover."""
+        return sum_counts(piece[node] for piece in self.pieces if node in piece)
+
+    def merged_pieces(self, length: float) -> list[dict[str, dict[str, float]]]:
+        """Return the pieces merged to about ``length`` seconds each.
 
-    def taken_together(self, length: float) -> list[dict[str, dict[str, float]]]:
-        """Pieces about as long as ``length``; four at least, so that there are two pairs, or as many as there are."""
+        At least four remain, which gives two pairs, unless there are fewer to begin with.
+        """
         count = len(self.pieces)
         size = 1
         while size * 2 * self.piece_s <= 1.5 * length and count // (size * 2) >= 4:
             size *= 2
         out = []
         for i in range(0, count - size + 1, size):
-            part = self.pieces[i : i + size]
-            names = {name for piece in part for name in piece}
-            out.append({n: add(piece[n] for piece in part if n in piece) for n in sorted(names)})
+            group = self.pieces[i : i + size]
+            names = {name for piece in group for name in piece}
+            out.append({n: sum_counts(piece[n] for piece in group if n in piece) for n in sorted(names)})
         return out
 
     @property
@@ -47,7 +53,8 @@
         return self.piece_s * len(self.pieces)
 
 
-def add(rows: Iterable[Mapping[str, float]]) -> dict[str, float]:
+def sum_counts(rows: Iterable[Mapping[str, float]]) -> dict[str, float]:
+    """Return the sum of the rows by name."""
     out: dict[str, float] = {}
     for row in rows:
         for name, value in row.items():
@@ -56,7 +63,10 @@
 
 
 def taken(intake: Intake, until: float, length: float) -> Before:
-    """The ``length`` seconds up to then.  A node that was not heard of in a piece is missing there."""
+    """Return the baseline over the ``length`` seconds up to ``until``.
+
+    A node without readings in a piece is missing from that piece.
+    """
     piece_s = length / PIECES
     pieces = []
     for i in range(PIECES):
--- a/headspar/rollout/judge/compare.py
+++ b/headspar/rollout/judge/compare.py
@@ -1,16 +1,17 @@
-"""Old against new at the same time: how much worse, and how sure; without I/O.
+"""Statistics of the comparison of old and new nodes over the same time (difference in differences).  No I/O.
 
-The unit is the node, not the request: nodes of one version differ for no reason, and requests of one node err
-together.  Each node's figure is held against the same node's before the change; the change of the new ones is held
-against the change of those of the same site that were not changed, in the same seconds.
+The unit is the node, not the request: nodes of one version differ without a reason, and the requests of one node are
+correlated.  Each node's figure is compared with the same node's baseline, and the change of the new nodes with that of
+the unchanged nodes of the same site in the same seconds.
 
-How far a node's figure strays is estimated as a multiple of what counts alone would make it stray (its *variance by
-counts*: little traffic, bad seconds and short times stray more, for all alike): within both groups and, beside it,
-from pieces of the time before the change in which nothing was changed (placebos).  That is what a fleet of a few
-nodes has to go by.  Where the groups' own multiple is larger than that for certain, it alone counts.
+The spread of a node's figure is estimated as a multiple of its *sampling variance*, which is what counting alone
+would cause (low traffic, bad seconds and short periods vary more, for all nodes alike).  The estimate pools the spread within both groups
+with that between pieces of the baseline, in which nothing was changed (placebo comparisons); with only a few nodes,
+the latter is most of what is known.  If the groups' own multiple is significantly larger, it is used alone.
 
-Looks: any number; the look k has a part 1 / (k (k + 1)) of the error allowed, which sums to all of it, whatever the
-looks have in common.  Student's t (Welch's degrees are not used: the multiple is pooled).
+The number of looks is not limited: look k spends a part 1 / (k (k + 1)) of the error allowed.  The parts sum to 1, so
+the bound holds however correlated the looks are (alpha spending).  Intervals use Student's t; Welch's degrees of
+freedom are not used because the multiple is pooled.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 import msgspec
 from scipy.special import fdtrc, stdtrit  # type: ignore[import-untyped]
 
-LARGER = 0.05  # of error in calling the stage's own multiple larger than that before it
-LEAST = 0.25  # multiple; figures that stray less than counts do are sums of many
+F_TEST_ERROR = 0.05  # error allowed in finding the stage's own multiple larger than the baseline's
+MIN_MULTIPLE = 0.25  # minimum multiple; figures that vary less than counts do are sums over many
 
 
 class Value(msgspec.Struct, frozen=True):
-    """A node's ratio of two counts, what it was counted over, and its variance by counts."""
+    """A node's ratio of two counts, its denominator ``per``, and its sampling variance."""
 
     ratio: float
     per: float
@@ -34,21 +35,26 @@
 
 
 def value(of: float, per: float) -> Value:
-    """``per`` above 0.  A share strays as a binomial's does, what comes several to one as a Poisson's; one is added
-    to the count, so that nothing counted is not taken for something certain."""
+    """Return the ratio ``of / per`` with its sampling variance; ``per`` must be above 0.
+
+    A share varies as a binomial, a ratio above 1 as a Poisson variable.  One is added to the count, so that a count
+    of 0 is not taken as certain.
+    """
     ratio = of / per
-    rough = min(0.5, (of + 1.0) / (per + 2.0)) if of <= per else (of + 1.0) / per
-    return Value(ratio, per, (rough * (1.0 - rough) if of <= per else rough) / per)
+    smoothed = min(0.5, (of + 1.0) / (per + 2.0)) if of <= per else (of + 1.0) / per
+    return Value(ratio, per, (smoothed * (1.0 - smoothed) if of <= per else smoothed) / per)
 
 
 def ratios(of: str, per: str, rows: Mapping[str, Mapping[str, float]]) -> dict[str, Value]:
-    """One count over another, of each node that has seen any of the second."""
+    """Return the ratio of two counts by node; nodes whose second count is 0 are omitted."""
     return {n: value(r.get(of, 0.0), r[per]) for n, r in rows.items() if r.get(per, 0.0) > 0}
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One node: its figure in the time looked at less that before; ``weight``: its traffic in that time; ``variance``
-    of the change, by counts."""
+    """How one node's figure has changed: ``by`` is its value now minus its baseline.
+
+    ``weight`` is the node's traffic in the period compared, ``variance`` the sampling variance of ``by``.
+    """
 
     node: str
     site: str
@@ -59,18 +65,21 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """A sum of squared deviations, each over its variance by counts, and its degrees of freedom."""
+    """A sum of squared deviations, each divided by its sampling variance, and its degrees of freedom."""
 
     squares: float = 0.0
     degrees: int = 0
 
-    def with_(self, other: Spread) -> Spread:
+    def combined_with(self, other: Spread) -> Spread:
         return Spread(self.squares + other.squares, self.degrees + other.degrees)
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """How much more the new nodes' figure has risen than the others': with its standard error, degrees of freedom,
-    how many nodes of each kind it rests on, and the least and most that it is held to be at its level."""
+    """How much more the new nodes' figure has risen than the unchanged nodes'.
+
+    ``low`` and ``high`` bound the confidence interval, ``error`` is the standard error, ``degrees`` its degrees of
+    freedom, and ``new`` and ``old`` are the numbers of nodes compared.
+    """
 
     by: float
     low: float
@@ -81,47 +90,53 @@
     old: int
 
 
-def part_of(look: int) -> float:
-    """Of the error allowed, for a look counted from 1."""
+def error_share(look: int) -> float:
+    """Return the share of the error allowed that a look spends; looks count from 1."""
     return 1.0 / (look * (look + 1))
 
 
-def quantile(level: float, degrees: int) -> float:
-    """Student's, endless for no degrees of freedom."""
+def t_quantile(level: float, degrees: int) -> float:
+    """Return a quantile of Student's t; infinite without degrees of freedom."""
     return float(stdtrit(degrees, level)) if degrees > 0 else inf
 
 
 def spread_of(groups: Iterable[Sequence[tuple[float, float]]]) -> Spread:
-    """Of groups of (value, variance by counts), each about its own mean weighed by precision."""
+    """Return the spread within groups of (value, sampling variance), each about its precision-weighted mean."""
     total = Spread()
     for group in groups:
         rows = [(x, v) for x, v in group if v > 0]
         if len(rows) > 1:
             mean = sum(x / v for x, v in rows) / sum(1.0 / v for _, v in rows)
-            total = total.with_(Spread(sum((x - mean) ** 2 / v for x, v in rows), len(rows) - 1))
+            total = total.combined_with(Spread(sum((x - mean) ** 2 / v for x, v in rows), len(rows) - 1))
     return total
 
 
 def placebo(pieces: Sequence[dict[str, Value]]) -> Spread:
-    """From nodes' figures in successive pieces of a time in which nothing was changed: how much a node's figure moves
-    from one to the next beside the other nodes'.  Pieces are taken in pairs that share none."""
+    """Return the spread of the placebo comparisons over consecutive pieces of a time without a change.
+
+    It is the spread, among nodes, of how much a figure moves from one piece to the next.  The pairs of pieces do not
+    overlap.
+    """
     groups = []
     for a, b in zip(pieces[::2], pieces[1::2], strict=False):
         groups.append([(b[n].ratio - a[n].ratio, a[n].variance + b[n].variance) for n in sorted(a.keys() & b.keys())])
     return spread_of(groups)
 
 
-def pooled(own: Spread, beside: Spread) -> Spread:
-    """Both, or the stage's own alone where it is the larger one for certain (an F test)."""
-    if own.degrees and beside.degrees and beside.squares > 0:
-        ratio = own.squares / own.degrees / (beside.squares / beside.degrees)
-        if float(fdtrc(own.degrees, beside.degrees, ratio)) < LARGER:
+def pooled(own: Spread, baseline: Spread) -> Spread:
+    """Return both spreads pooled, or the stage's own alone if it is significantly larger (F test)."""
+    if own.degrees and baseline.degrees and baseline.squares > 0:
+        ratio = own.squares / own.degrees / (baseline.squares / baseline.degrees)
+        if float(fdtrc(own.degrees, baseline.degrees, ratio)) < F_TEST_ERROR:
             return own
-    return own.with_(beside)
+    return own.combined_with(baseline)
+
 
+def difference(changes: Sequence[Change], baseline: Spread, level: float) -> Difference | None:
+    """Return the traffic-weighted difference within sites; ``level`` is the error on each side.
 
-def difference(changes: Sequence[Change], beside: Spread, level: float) -> Difference | None:
-    """``level``: of error on each side.  None where no site has a node of both kinds."""
+    None if no site has both new and unchanged nodes.
+    """
     sites: dict[str, tuple[list[Change], list[Change]]] = {}
     for c in changes:
         if c.weight > 0:
@@ -129,7 +144,7 @@
     both = [pair for _, pair in sorted(sites.items()) if pair[0] and pair[1]]
     if not both:
         return None
-    spread = pooled(spread_of([(c.by, c.variance) for c in group] for pair in both for group in pair), beside)
+    spread = pooled(spread_of([(c.by, c.variance) for c in group] for pair in both for group in pair), baseline)
     total = sum(c.weight for new, _ in both for c in new)
     by = variance = 0.0
     for new, old in both:
@@ -137,8 +152,8 @@
         by += share * (_mean(new) - _mean(old))
         variance += share**2 * (_variance(new) + _variance(old))
     degrees = spread.degrees
-    error = sqrt(variance * max(LEAST, spread.squares / degrees)) if degrees else inf
-    half = quantile(1.0 - level, degrees) * error if degrees else inf
+    error = sqrt(variance * max(MIN_MULTIPLE, spread.squares / degrees)) if degrees else inf
+    half = t_quantile(1.0 - level, degrees) * error if degrees else inf
     return Difference(by, by - half, by + half, error, degrees, sum(len(new) for new, _ in both),
                       sum(len(old) for _, old in both))
 
@@ -148,5 +163,5 @@
 
 
 def _variance(group: Sequence[Change]) -> float:
-    """Of the weighted mean, by counts."""
+    """Return the sampling variance of the weighted mean."""
     return sum(c.weight**2 * c.variance for c in group) / sum(c.weight for c in group) ** 2
--- a/headspar/rollout/judge/intake.py
+++ b/headspar/rollout/judge/intake.py
@@ -1,8 +1,8 @@
-"""Nodes' running counts, as what each node did in each stretch of the judge's own time; without I/O or clock.
+"""Turns the nodes' cumulative counters into counts per interval of the judge's own time.  No I/O, no clock.
 
-A node's clock is not believed: a reading counts when it comes, and how long it speaks of is told by the process's
-own time since its start.  So a clock ten minutes off, a reading twice, late or out of order, and counts that a
-restart has set to 0, move nothing.
+The nodes' wall clocks are not trusted: a reading is dated by its arrival, and the length of its interval comes from
+the process's uptime.  A clock that is minutes off, a duplicate, late or reordered reading, and counters that a
+restart has reset to 0 therefore do not distort the counts.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 
 import msgspec
 
-MOST_STRETCHES = 4_000  # of a node; with one a second over an hour
-MOST_NODES = 5_000
-MOST_PROCESSES = 8  # of a node, remembered so that a late word of one that is gone is known as such
-MOST_COUNTS = 200
+MAX_INTERVALS = 4_000  # per node; over an hour at one reading per second
+MAX_NODES = 5_000
+MAX_PROCESSES = 8  # earlier processes remembered per node, so that a late reading of one is recognised
+MAX_COUNTS = 200  # per reading
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """What one process says of itself: counts since its start, and what it holds now (``gauges``).  ``process`` names
-    it (pid with start and boot); ``up_s`` is the time since its start, by its own monotonic clock."""
+    """A report of one process: its counters since its start and its current ``gauges``.
+
+    ``process`` identifies it (pid with start time and boot); ``up_s`` is its uptime by its own monotonic clock.
+    """
 
     node: str
     site: str
@@ -32,8 +34,11 @@
     gauges: Mapping[str, float]
 
 
-class Stretch(msgspec.Struct, frozen=True):
-    """What one process did until ``at`` (s of the judge's time) in ``span_s``; ``age_s`` at its end."""
+class Interval(msgspec.Struct, frozen=True):
+    """The counts of one process in the ``span_s`` seconds up to ``at`` (seconds of the judge's time).
+
+    ``age_s`` is the uptime of the process at the end of the interval.
+    """
 
     at: float
     span_s: float
@@ -43,71 +48,77 @@
     gauges: Mapping[str, float]
 
 
-class _Known:
-    __slots__ = ("site", "process", "up_s", "counts", "gone", "stretches", "heard_at", "starts")
+class _NodeHistory:
+    __slots__ = ("site", "process", "up_s", "counts", "past_processes", "intervals", "received_at", "starts")
 
     def __init__(self, site: str) -> None:
         self.site, self.process, self.up_s = site, "", -1.0
         self.counts: Mapping[str, float] = {}
-        self.gone: deque[str] = deque(maxlen=MOST_PROCESSES)
-        self.stretches: deque[Stretch] = deque(maxlen=MOST_STRETCHES)
-        self.heard_at = 0.0
-        self.starts: list[float] = []  # when processes after the first were first heard
+        self.past_processes: deque[str] = deque(maxlen=MAX_PROCESSES)
+        self.intervals: deque[Interval] = deque(maxlen=MAX_INTERVALS)
+        self.received_at = 0.0
+        self.starts: list[float] = []  # arrival of the first reading of each process after the first one
 
 
 class Intake:
-    """``passed_over`` counts the readings that moved nothing, by reason.  ``began``: since when it has listened; a
-    silence before that is nobody's."""
+    """Collects the readings of all nodes.
 
-    def __init__(self, began: float = -inf) -> None:
-        self.began = began
-        self.nodes: dict[str, _Known] = {}
-        self.passed_over: dict[str, int] = {}
+    ``rejected`` counts the rejected readings by reason.  ``started_at`` is when the intake started; silence before it
+    is not held against a node.
+    """
+
+    def __init__(self, started_at: float = -inf) -> None:
+        self.started_at = started_at
+        self.nodes: dict[str, _NodeHistory] = {}
+        self.rejected: dict[str, int] = {}
 
     def take(self, r: Reading, now: float) -> bool:
-        """Whether it told anything new.  ``now``: seconds of the judge's own clock, never going back."""
-        known = self.nodes.get(r.node)
-        if known is None:
-            if len(self.nodes) >= MOST_NODES:
-                return self._over("too many nodes")
-            known = self.nodes[r.node] = _Known(r.site)
-        if len(r.counts) > MOST_COUNTS or any(not 0 <= v < 1e15 for v in r.counts.values()) or not r.up_s >= 0:
-            return self._over("no figures")
-        if r.process in known.gone:
-            return self._over("of a process that is gone")
-        first = not known.process
-        if r.process != known.process:
+        """Add a reading and return whether it was accepted.  ``now``: seconds of the judge's monotonic clock."""
+        history = self.nodes.get(r.node)
+        if history is None:
+            if len(self.nodes) >= MAX_NODES:
+                return self._reject("too many nodes")
+            history = self.nodes[r.node] = _NodeHistory(r.site)
+        if len(r.counts) > MAX_COUNTS or any(not 0 <= v < 1e15 for v in r.counts.values()) or not r.up_s >= 0:
+            return self._reject("invalid figures")
+        if r.process in history.past_processes:
+            return self._reject("from an earlier process")
+        first = not history.process
+        if r.process != history.process:
             if not first:
-                known.gone.append(known.process)
-                known.starts.append(now)
-                del known.starts[:-MOST_STRETCHES]
-            known.process, known.up_s, known.counts = r.process, 0.0, {}
-        elif r.up_s <= known.up_s:
-            return self._over("twice or out of order")
-        before, known.counts = known.counts, dict(r.counts)
-        span, known.up_s = r.up_s - known.up_s, r.up_s
-        known.site, known.heard_at = r.site, now
+                history.past_processes.append(history.process)
+                history.starts.append(now)
+                del history.starts[:-MAX_INTERVALS]
+            history.process, history.up_s, history.counts = r.process, 0.0, {}
+        elif r.up_s <= history.up_s:
+            return self._reject("duplicate or out of order")
+        before, history.counts = history.counts, dict(r.counts)
+        span, history.up_s = r.up_s - history.up_s, r.up_s
+        history.site, history.received_at = r.site, now
         if first:
-            return True  # what it had done before it was first heard belongs to no time of ours
-        done = {name: value - before.get(name, 0.0) for name, value in r.counts.items()}
-        if any(value < 0 for value in done.values()):
-            return self._over("counts that went back")
-        known.stretches.append(Stretch(now, span, r.up_s, r.generation, done, dict(r.gauges)))
+            return True  # counts from before the first reading cannot be dated
+        delta = {name: value - before.get(name, 0.0) for name, value in r.counts.items()}
+        if any(value < 0 for value in delta.values()):
+            return self._reject("counts went backwards")
+        history.intervals.append(Interval(now, span, r.up_s, r.generation, delta, dict(r.gauges)))
         return True
 
-    def _over(self, reason: str) -> bool:
-        self.passed_over[reason] = self.passed_over.get(reason, 0) + 1
+    def _reject(self, reason: str) -> bool:
+        self.rejected[reason] = self.rejected.get(reason, 0) + 1
         return False
 
     def sums(
-        self, node: str, since: float, until: float, generation: str | None = None, least_age_s: float = 0.0,
+        self, node: str, since: float, until: float, generation: str | None = None, min_age_s: float = 0.0,
     ) -> dict[str, float]:
-        """What a node did in stretches that lie in the time whole, of processes of that generation and at least of
-        that age; ``spans`` is their length in seconds."""
+        """Return a node's counts over the intervals that lie entirely between ``since`` and ``until``.
+
+        Only processes of ``generation`` (None: any) with an uptime of at least ``min_age_s`` count.  ``spans`` is
+        the total length of the intervals in seconds.
+        """
         out: dict[str, float] = {"spans": 0.0}
-        known = self.nodes.get(node)
-        for s in known.stretches if known is not None else ():
-            if s.at > until or s.at - s.span_s < since - 1e-9 or s.age_s - s.span_s < least_age_s - 1e-9:
+        history = self.nodes.get(node)
+        for s in history.intervals if history is not None else ():
+            if s.at > until or s.at - s.span_s < since - 1e-9 or s.age_s - s.span_s < min_age_s - 1e-9:
                 continue
             if generation is not None and s.generation != generation:
                 continue
@@ -117,26 +128,26 @@
         return out
 
     def gauge(self, node: str, name: str, since: float) -> list[tuple[float, float]]:
-        """Values of a gauge with their times, of the present process alone."""
-        known = self.nodes.get(node)
-        if known is None:
+        """Return the (time, value) pairs of a gauge since ``since``, of the current process only."""
+        history = self.nodes.get(node)
+        if history is None:
             return []
-        rows = [(s.at, s.age_s, s.gauges[name]) for s in known.stretches if s.at >= since and name in s.gauges]
+        rows = [(s.at, s.age_s, s.gauges[name]) for s in history.intervals if s.at >= since and name in s.gauges]
         while rows and any(b[1] < a[1] for a, b in zip(rows, rows[1:], strict=False)):
             rows.pop(0)
         return [(at, value) for at, _, value in rows]
 
     def silent_s(self, node: str, now: float) -> float:
-        """How long nothing new has come from it, since its last word or since anybody has listened."""
-        known = self.nodes.get(node)
-        return now - (max(known.heard_at, self.began) if known is not None and known.process else self.began)
+        """Return the seconds since the node's last accepted reading, or since the intake started."""
+        history = self.nodes.get(node)
+        return now - (max(history.received_at, self.started_at) if history is not None and history.process else self.started_at)
 
     def latest(self, node: str) -> Mapping[str, float]:
-        """Its gauges as last told; nothing where it was never heard, or only once."""
-        known = self.nodes.get(node)
-        return known.stretches[-1].gauges if known is not None and known.stretches else {}
+        """Return the node's last gauges; empty with fewer than two readings."""
+        history = self.nodes.get(node)
+        return history.intervals[-1].gauges if history is not None and history.intervals else {}
 
     def starts(self, node: str, since: float) -> int:
-        """New processes of it that were first heard since then."""
-        known = self.nodes.get(node)
-        return sum(at >= since for at in known.starts) if known is not None else 0
+        """Return the number of the node's new processes whose first reading came at or after ``since``."""
+        history = self.nodes.get(node)
+        return sum(at >= since for at in history.starts) if history is not None else 0
--- a/headspar/rollout/judge/power.py
+++ b/headspar/rollout/judge/power.py
@@ -1,4 +1,4 @@
-"""Before a stage begins: the smallest harm that it could show, and how long it has to last for the margin asked."""
+"""Power analysis before a change: the smallest detectable harm of each stage, and the time that its margin needs."""
 
 from __future__ import annotations
 
@@ -6,47 +6,51 @@
 from math import inf, sqrt
 
 from headspar.rollout.judge.before import Before
-from headspar.rollout.judge.compare import LEAST, Spread, part_of, placebo, quantile, ratios, value
+from headspar.rollout.judge.compare import MIN_MULTIPLE, Spread, error_share, placebo, ratios, t_quantile, value
 from headspar.rollout.judge.terms import Figure, Limits, Power
 
 POWER = 0.8
-MOST_S = 24 * 3600.0
-VIEWS = 3  # of each figure: the whole stage, its last part, the neighbours
+MAX_STAGE_S = 24 * 3600.0
+VIEWS = 3  # comparisons of each figure: over the whole stage, over its last part, and of the neighbours
 
 
-def least_seen(
+def minimum_detectable_harm(
     spread: Spread, per: float, share: float, new: int, old: int, limits: Limits, tests: int, looks: int,
     power: float = 0.8, before: float = 0.0,
 ) -> float:
-    """The smallest harm to one share that so many nodes of one site would show in ``power`` of
-    all cases by the look of that number, where each has seen ``per`` requests until then and ``before`` requests
-    before the change (0: as many), and the share was ``share``,
-    with the multiple of counts' own straying that the time before has shown; endless where nothing is known of it."""
+    """Return the smallest harm to a share that is detected with probability ``power`` by look number ``looks``.
+
+    ``new`` and ``old`` are the numbers of nodes of one site.  By then each has had ``per`` requests, and ``before``
+    requests in the baseline (0: as many as ``per``), with a baseline value of ``share``.  ``spread`` is the placebo
+    spread of the baseline; the result is infinite without it.
+    """
     degrees = spread.degrees
     if not degrees or not new or not old or per <= 0:
         return inf
     before = before or per
     variance = value(share * per, per).variance + value(share * before, before).variance
-    error = sqrt(max(LEAST, spread.squares / degrees) * variance * (1.0 / new + 1.0 / old))
-    level = limits.error * part_of(looks) / tests
-    return (quantile(1.0 - level, degrees) + quantile(power, degrees)) * error
+    error = sqrt(max(MIN_MULTIPLE, spread.squares / degrees) * variance * (1.0 / new + 1.0 / old))
+    level = limits.error * error_share(looks) / tests
+    return (t_quantile(1.0 - level, degrees) + t_quantile(power, degrees)) * error
 
 
 def powers(before: Before, stages: Sequence[Sequence[str]], limits: Limits) -> list[Power]:
-    """Of each stage that leaves unchanged nodes, for each figure that is a share of requests.  A stage is taken as
-    one site's: what it sees in several is a little more."""
+    """Return the power of each stage that leaves unchanged nodes, for each figure that is a share of requests.
+
+    A stage is treated as if it were in one site; across several sites its power is slightly higher.
+    """
     out, changed = [], 0
     tests = VIEWS * len(limits.figures)
     nodes = before.sites.keys()
-    totals = [before.whole(n) for n in nodes]
-    known = {name for t in totals for name in t}
+    totals = [before.totals(n) for n in nodes]
+    reported = {name for t in totals for name in t}
     for number, stage in enumerate(stages):
         changed += len(stage)
         old = len(nodes) - changed
         if old <= 0:
             break
         for f in limits.figures:
-            if f.relative or known and f.per not in known:  # a count that these versions don't tell
+            if f.relative or reported and f.per not in reported:  # the running version does not report this count
                 continue
             per = sum(t.get(f.per, 0.0) for t in totals)
             share = sum(t.get(f.of, 0.0) for t in totals) / per if per else 0.0
@@ -57,15 +61,15 @@
 
 
 def _power(number: int, new: int, old: int, f: Figure, spread: Spread, rate: float, share: float, limits: Limits,
-           tests: int, watched_s: float) -> Power:
+           tests: int, baseline_s: float) -> Power:
     least = needs = None
     at, look = limits.first_s, 1
-    while at <= (limits.most_s if needs is not None else MOST_S):
-        seen = least_seen(spread, rate * max(0.0, at - limits.settle_s), share, new, old, limits, tests, look, POWER,
-                          rate * watched_s)
-        if at <= limits.most_s and seen < inf:
-            least = seen
-        if needs is None and seen <= f.margin:
+    while at <= (limits.most_s if needs is not None else MAX_STAGE_S):
+        detectable = minimum_detectable_harm(spread, rate * max(0.0, at - limits.settle_s), share, new, old, limits,
+                                             tests, look, POWER, rate * baseline_s)
+        if at <= limits.most_s and detectable < inf:
+            least = detectable
+        if needs is None and detectable <= f.margin:
             needs = at
         at, look = limits.next_look(at), look + 1
     return Power(number, new, old, f.name, f.margin, least, needs)
--- a/headspar/rollout/judge/terms.py
+++ b/headspar/rollout/judge/terms.py
@@ -1,5 +1,7 @@
-"""The judge's words: figures with their margins, limits, stages, what was seen and said.  Without I/O, and without
-the libraries that comparing needs."""
+"""Data types of the judge: figures with their margins, limits, stages and verdicts.
+
+No I/O, and no imports of the statistics libraries, which take long to load.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +19,11 @@
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """A ratio of two counts.  ``margin``: not worse by more than that, in the figure's own unit, or as a share of
-    what it was before (``relative``).  ``up``: whether more of it is better."""
+    """A ratio of two counts, ``of / per``.
+
+    ``margin`` is the maximum harm accepted, in the figure's own unit, or as a share of its baseline if ``relative``.
+    ``up``: a higher value is better.
+    """
 
     name: str
     of: str
@@ -36,14 +41,18 @@
     Figure("attempts a request", "attempts", "taken", 0.15, relative=True),
     Figure("handshakes a request", "handshakes", "taken", 0.5, relative=True),
     Figure("processor time a request", "cpu_ms", "taken", 0.25, relative=True),
-    Figure("time to answer", "quarters", "served", 0.2),  # quarters of an octave: 3.5%
+    Figure("time to answer", "quarters", "served", 0.2),  # in quarters of an octave; 0.2 of them are 3.5%
 )
 BY_CLASS = (Figure("refused", "refused", "taken", 0.03), Figure("failed", "failed", "taken", 0.02))
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What a judge goes by.  ``error``: of stopping a harmless change, in a stage; ``least_s`` and ``most_s`` a stage
-    lasts, ``settle_s`` of each new process is not looked at, ``first_s`` and ``ratio`` say when is looked."""
+    """The parameters of a judge.
+
+    ``error`` is the probability, per stage, of stopping a harmless change.  ``least_s`` and ``most_s`` are the
+    minimum and maximum duration of a stage.  The first ``settle_s`` seconds of each new process are ignored.  The
+    first look is after ``first_s`` seconds; each later one is at ``ratio`` times the time of the one before.
+    """
 
     figures: tuple[Figure, ...] = FIGURES
     by_class: tuple[Figure, ...] = BY_CLASS
@@ -54,49 +63,59 @@
     first_s: float = 30.0
     ratio: float = 1.3
     lost_s: float = 10.0
-    memory_mb: float = 0.0  # a process's limit; 0: none is known
-    restarts: int = 1  # of changed nodes, above which the stage is taken back
+    memory_mb: float = 0.0  # memory limit of a process; 0: unknown
+    restarts: int = 1  # maximum restarts of changed nodes; with more the stage is rolled back
 
     def next_look(self, at: float) -> float:
-        """After one at that time of the stage; none lies beyond the time that it may last, as long as it does."""
+        """Return the time of the look after one at ``at``, in seconds of the stage.
+
+        One look falls exactly on the stage's maximum duration.
+        """
         return min(at * self.ratio, self.most_s) if at < self.most_s else at * self.ratio
 
 
 class Judged(msgspec.Struct, frozen=True):
-    """How a change is judged, if at all; ``watch_s``: how long the fleet is looked at before anything is changed."""
+    """Whether and how a change is judged.  ``watch_s`` is the length of the baseline."""
 
     on: bool = False
     watch_s: float = 120.0
-    every_s: float = 1.0  # between two questions to a node
+    every_s: float = 1.0  # polling interval of a node
     limits: Limits = Limits()
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """Since when (the judge's time), which nodes carry the new generation, and which were restarted with the old."""
+    """A stage: its start (judge's time), the nodes that get the new generation, and the placebo nodes.
+
+    ``shams`` are the placebo nodes of an A/A comparison: they were restarted with their old generation.
+    """
 
     since: float
     new: frozenset[str]
     generation: str
     shams: frozenset[str] = frozenset()
-    before_s: float = 120.0  # of the time before the change, looked at
+    before_s: float = 120.0  # length of the baseline if it is taken when the stage begins
 
 
 class World(msgspec.Struct, frozen=True):
-    """What discovery and traffic say has changed since the stage began, by site: servers that died or were released
-    (as shares of the site's), traffic over that before."""
+    """Changes of the environment, by site, for which the rollout is not responsible.
+
+    ``servers_lost`` is the share of the site's servers that are gone or cold compared with the baseline; ``traffic``
+    is the ratio of the current traffic to the baseline's.
+    """
 
     servers_lost: Mapping[str, float] = {}
     traffic: Mapping[str, float] = {}
 
-    def moved(self, site: str) -> bool:
+    def has_changed(self, site: str) -> bool:
+        """Return whether the site's servers or traffic differ from the baseline."""
         return self.servers_lost.get(site, 0.0) > 0.05 or not 0.75 <= self.traffic.get(site, 1.0) <= 1.33
 
 
-LIMITS, STILL = Limits(), World()
+LIMITS, UNCHANGED_WORLD = Limits(), World()
 
 
-class Seen(msgspec.Struct, frozen=True):
-    """One figure at one look: how much worse (harm above 0), from where to where, against which margin."""
+class Comparison(msgspec.Struct, frozen=True):
+    """One figure at one look: its harm (above 0: worse) with its confidence interval and margin."""
 
     figure: str
     harm: float
@@ -108,17 +127,20 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """``more_s``: how much longer to wait, as it looks now; ``seen``: the figures that it rests on, worst first."""
+    """The judge's decision.  ``more_s`` is the estimated time to wait; ``seen``: the figures, worst first."""
 
     kind: Kind
     reason: str
-    seen: tuple[Seen, ...] = ()
+    seen: tuple[Comparison, ...] = ()
     more_s: float = 0.0
 
 
 class Power(msgspec.Struct, frozen=True):
-    """One figure of one stage.  ``least``: what it would show by the stage's end (None: nothing at all);
-    ``needs_s``: how long it must last to show the margin (None: not within a day)."""
+    """The power of one stage for one figure.
+
+    ``least`` is the smallest harm that is detectable by the end of the stage (None: none).  ``needs_s`` is how long
+    the stage must last to detect the margin (None: more than a day).
+    """
 
     stage: int
     new: int
--- a/headspar/rollout/judging.py
+++ b/headspar/rollout/judging.py
@@ -1,6 +1,6 @@
-"""What the judge needs of one change: the nodes' figures as they come, the time before, the stage that is judged now.
+"""Connects the judge to one change: the incoming figures, the baseline, and the judge of the current stage.
 
-Without I/O; ``now`` is the controller's own monotonic clock in seconds, ``clock`` the change's.
+No I/O.  ``now`` is the controller's monotonic clock in seconds, ``clock`` the change's clock.
 """
 
 from __future__ import annotations
@@ -17,12 +17,15 @@
 from headspar.rollout.judge.terms import Judged, Kind, Power, Stage, Verdict, World
 from headspar.rollout.state import Change, State
 
-HEARD = 0.75  # of the nodes, for as much of the time before
-TRAFFIC_S = 30.0  # over which the traffic of now is taken
+MIN_REPORTING = 0.75  # share of the nodes that must have reported, each for this share of the baseline
+TRAFFIC_S = 30.0  # window over which the current traffic is averaged
 
 
 class Judging:
-    """One change's, of one controller.  ``before``: as the record holds it; None: it has still to be looked at."""
+    """Judges one change on behalf of one controller.
+
+    ``before`` is the baseline from the record; None if it has still to be taken.
+    """
 
     def __init__(self, ways: Judged, sites: Mapping[str, str], now: float, before: Before | None) -> None:
         self.ways, self.sites, self.began, self.before = ways, dict(sites), now, before
@@ -31,37 +34,41 @@
         self.stage: tuple[int, float] | None = None
 
     def take(self, node: str, work: Work, now: float) -> None:
+        """Add a node's report of its work."""
         self.intake.take(Reading(node, self.sites[node], work.generation, work.process, work.up_s, work.counts,
                                  work.gauges), now)
 
     # ------------------------------------------------------------ before the change
 
     def waits(self, now: float) -> str:
-        """Why the change can't begin yet; empty once the fleet has been looked at for long enough."""
+        """Return why the change cannot begin yet; empty once the baseline can be taken."""
         if now < self.began + self.ways.watch_s:
-            return f"the fleet is looked at as it is, for {self.ways.watch_s:.0f} s"
-        least = HEARD * self.ways.watch_s
+            return f"the baseline of the fleet is being taken for {self.ways.watch_s:.0f} s"
+        least = MIN_REPORTING * self.ways.watch_s
         since = now - self.ways.watch_s
-        told = sum(self.intake.sums(n, since, now)["spans"] >= least for n in self.sites)
-        if told < HEARD * len(self.sites):
-            return f"only {told} of {len(self.sites)} nodes tell what they have done: nothing could be judged"
+        reporting = sum(self.intake.sums(n, since, now)["spans"] >= least for n in self.sites)
+        if reporting < MIN_REPORTING * len(self.sites):
+            return f"only {reporting} of {len(self.sites)} nodes report their work: the change could not be judged"
         return ""
 
     def look_before(self, now: float) -> Before:
-        """The time up to now is the time before, from here on."""
+        """Take the baseline from the time up to ``now`` and return it."""
         self.before = taken(self.intake, now, self.ways.watch_s)
         return self.before
 
     def powers(self, change: Change) -> list[Power]:
-        """What each stage could show."""
+        """Return the power of each stage; empty without a baseline."""
         return powers(self.before, change.stages, self.ways.limits) if self.before is not None else []
 
     # ------------------------------------------------------------ a stage
 
     def look(self, change: Change, changed: frozenset[str], clock: float, now: float, looks: int,
              ) -> tuple[Verdict, bool]:
-        """The verdict on the stage under way, and whether it rests on a new look.  ``changed``: nodes that run the
-        goal by now; ``looks``: those of this stage that the record knows of."""
+        """Return the verdict on the current stage, and whether it is new.
+
+        ``changed`` are the nodes that run the goal by now; ``looks`` is the number of looks at this stage in the
+        record.
+        """
         assert self.before is not None
         at = change.stage, change.stage_since
         if self.judge is None or self.stage != at:
@@ -70,37 +77,38 @@
             since = now - (clock - change.stage_since)
             self.judge = Judge(self.intake, Stage(since, new, change.goal), self.ways.limits, self.before, looks)
         judge = self.judge
-        known = judge.looks, judge.last.kind
+        previous = judge.looks, judge.last.kind
         verdict = judge.look(now, self.world(judge.old, now), changed)
-        fresh = (judge.looks, verdict.kind) != known
+        fresh = (judge.looks, verdict.kind) != previous
         proving = now - (clock - change.since) if change.state is State.PROVING else inf
         if verdict.kind is Kind.GO_ON and judge.looked_at < proving:
-            # It speaks of a part of the stage's nodes.
-            verdict = Verdict(Kind.WAIT, f"{verdict.reason}; not all of the stage has been looked at", verdict.seen)
+            # That look was made while only part of the stage's nodes had changed.
+            verdict = Verdict(Kind.WAIT, f"{verdict.reason}; not all nodes of the stage have been judged",
+                              verdict.seen)
         return verdict, fresh
 
     def world(self, old: frozenset[str], now: float) -> World:
-        """What unchanged nodes say of servers, and all of their sites' traffic, beside the time before."""
+        """Compare servers, as unchanged nodes list them, and traffic of all nodes with the baseline, by site."""
         assert self.before is not None
         traffic, lost = {}, {}
         for site in sorted(set(self.sites.values())):
             names = [n for n, s in self.sites.items() if s == site]
-            usual = sum(w.get("taken", 0.0) for n in names if (w := self.before.whole(n))) / self.before.seconds
+            base_rate = sum(w.get("taken", 0.0) for n in names if (w := self.before.totals(n))) / self.before.seconds
             rates = [s.get("taken", 0.0) / s["spans"] for n in names
                      if (s := self.intake.sums(n, now - TRAFFIC_S, now))["spans"] > 0]
-            if usual > 0 and rates:
-                traffic[site] = sum(rates) / usual
+            if base_rate > 0 and rates:
+                traffic[site] = sum(rates) / base_rate
             shares = [share for n in names if n in old and (share := self._servers_lost(n)) is not None]
             if shares:
                 lost[site] = statistics.median(shares)
         return World(lost, traffic)
 
     def _servers_lost(self, node: str) -> float | None:
-        """Of the servers that it listed before: those that it lists no more, and those that are cold now."""
+        """Return the share of the node's baseline servers that are gone or newly cold; None if unknown."""
         assert self.before is not None
-        then, now = self.before.gauges.get(node, {}), self.intake.latest(node)
-        if not then.get("servers") or not now.get("servers"):
+        baseline, now = self.before.gauges.get(node, {}), self.intake.latest(node)
+        if not baseline.get("servers") or not now.get("servers"):
             return None
-        gone = max(0.0, 1.0 - now["servers"] / then["servers"])
-        cold = now.get("cold", 0.0) / now["servers"] - then.get("cold", 0.0) / then["servers"]
+        gone = max(0.0, 1.0 - now["servers"] / baseline["servers"])
+        cold = now.get("cold", 0.0) / now["servers"] - baseline.get("cold", 0.0) / baseline["servers"]
         return gone + max(0.0, cold)
--- a/headspar/rollout/lease.py
+++ b/headspar/rollout/lease.py
@@ -1,37 +1,41 @@
-"""Who may lead: one controller at a time, under an epoch that only rises; without I/O or clock.
+"""The controllers' lease: one leader at a time, under a fencing epoch that only rises.  No I/O, no clock.
 
-The record keeps it, and looks at it in each transaction; keepers enforce the epoch.  Times are seconds of the wall
-clock.
+The record stores the lease and checks it in each transaction; keepers enforce the epoch.  Times are wall clock
+seconds.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-ODD = 10  # a lease that runs for so many times its length was given by a clock that has been set back since
+# A lease that has more than this many lease lengths left was granted by a clock that has since been set back.
+MAX_REMAINING_LENGTHS = 10
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """Who has or had it, the epoch, and until when it holds."""
+    """The current or last holder, its epoch, and the time at which the lease expires."""
 
     holder: str = ""
     epoch: int = 0
     until: float = 0.0
 
     def acquired(self, holder: str, now: float, seconds: float) -> Lease | None:
-        """Anew, under the next epoch, if it is free or has run out; None while another has it."""
-        if now < self.until <= now + ODD * seconds:
+        """Return a lease of ``seconds`` under the next epoch if this one is free or expired, else None."""
+        if now < self.until <= now + MAX_REMAINING_LENGTHS * seconds:
             return None
         return Lease(holder, self.epoch + 1, now + seconds)
 
     def renewed(self, now: float, seconds: float) -> Lease:
         return Lease(self.holder, self.epoch, now + seconds)
 
-    def lifted(self, heard: int, stranger: bool = False) -> Lease:
-        """Above an epoch that a keeper has heard of: the record was lost, or is an older copy.  ``stranger``: under
-        that epoch somebody has sent what the record does not know, so that it isn't ours though it is the same."""
-        theirs = heard > self.epoch or stranger and heard == self.epoch
-        return Lease(self.holder, heard + 1, self.until) if theirs else self
+    def raised_above(self, seen: int, unknown_steps: bool = False) -> Lease:
+        """Return the lease with an epoch above one that a keeper has seen; unchanged if it is above already.
+
+        A keeper sees a later epoch if the record was lost or restored from an older copy.  ``unknown_steps``: a
+        keeper received steps under that epoch that the record does not know, so an equal epoch is not this holder's.
+        """
+        foreign = seen > self.epoch or unknown_steps and seen == self.epoch
+        return Lease(self.holder, seen + 1, self.until) if foreign else self
 
     def released(self) -> Lease:
         return Lease(self.holder, self.epoch, 0.0)
--- a/headspar/rollout/record.py
+++ b/headspar/rollout/record.py
@@ -18,7 +18,7 @@
 
 from headspar.failpoints import failpoint
 from headspar.rollout.judge.before import Before
-from headspar.rollout.judge.terms import Power, Seen, Verdict
+from headspar.rollout.judge.terms import Comparison, Power, Verdict
 from headspar.rollout.lease import Lease
 from headspar.rollout.state import OVER, Cause, Change, Command, State
 
@@ -91,7 +91,7 @@
     look: int
     kind: str
     reason: str
-    seen: list[Seen]
+    seen: list[Comparison]
 
 
 class Record:
@@ -165,7 +165,7 @@
         """Keepers have heard of later ones than the record holds: the epoch from now on, above theirs; steps go on
         above theirs as well.  ``Fenced`` if the lease is not ours."""
         with self._write(epoch) as db:
-            lease = self._lease(db).lifted(epoch_heard, step_heard > self.last_step)
+            lease = self._lease(db).raised_above(epoch_heard, step_heard > self.last_step)
             self._hold(db, lease)
             if step_heard > self.last_step:
                 db.execute("DELETE FROM sqlite_sequence WHERE name = 'step'")
@@ -266,7 +266,7 @@
         """All of a change, the oldest first."""
         rows = self.db.execute("SELECT at, stage, look, kind, reason, seen FROM look WHERE change = ? "
                                "ORDER BY number", (change,)).fetchall()
-        return [Looked(at, stage, look, kind, reason, msgspec.json.decode(seen, type=list[Seen]))
+        return [Looked(at, stage, look, kind, reason, msgspec.json.decode(seen, type=list[Comparison]))
                 for at, stage, look, kind, reason, seen in rows]
 
     # ------------------------------------------------------------ steps
--- a/headspar/rollout/stages.py
+++ b/headspar/rollout/stages.py
@@ -1,4 +1,4 @@
-"""Which nodes change in which stage: one node, one in each other site, then shares of the fleet; without I/O."""
+"""Plans the stages of a change: one node, then one node in each other site, then shares of the fleet.  No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A node as the plan sees it; ``load`` in requests a second."""
+    """A node to be planned; ``load`` is in requests per second."""
 
     name: str
     site: str
@@ -17,8 +17,11 @@
 
 
 def order(nodes: Iterable[Candidate]) -> list[Candidate]:
-    """The order within a stage: sites take turns, and in each the nodes with the least load come first, so that a
-    bad change meets the fewest requests and no site is left with few nodes before the others."""
+    """Return the nodes in the order in which they change.
+
+    Sites take turns, so that no site is down to few unchanged nodes before the others.  Within a site the nodes with
+    the lowest load come first, so that a bad change affects the fewest requests.
+    """
     by_site: dict[str, list[Candidate]] = {}
     for node in sorted(nodes, key=lambda n: (n.load, n.name)):
         by_site.setdefault(node.site, []).append(node)
@@ -31,8 +34,11 @@
 
 
 def plan(nodes: Sequence[Candidate], shares: Sequence[float]) -> list[list[str]]:
-    """Stages of names, each node in exactly one; empty stages are left out.  ``shares``: of the fleet, done by the
-    end of each stage after the first two; the last is 1."""
+    """Return the stages as lists of node names.  Each node is in exactly one stage; empty stages are omitted.
+
+    ``shares`` are the cumulative shares of the fleet that have changed by the end of each stage after the first two;
+    the last one is 1.
+    """
     rest = order(nodes)
     if not rest:
         return []
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -18,7 +18,7 @@
 from headspar.keeper.messages import Status
 from headspar.keeper.slots import Slot
 from headspar.rollout.judge.terms import Judged, Kind, Verdict
-from headspar.rollout.limits import Limits, Now, Room
+from headspar.rollout.limits import DisruptionBudget, Limits, NodeCondition
 
 
 class State(Enum):
@@ -195,20 +195,20 @@
         short = self.change.ways.lost_s / 3
         return seen.status if seen.at >= 0 and clock - seen.at <= short else None
 
-    def _now(self, name: str, clock: float) -> Now:
+    def _now(self, name: str, clock: float) -> NodeCondition:
         status = self.fresh(name, clock)
         if status is None or name in self.doubtful:
-            return Now(name, self.sites[name], True, down=False)
+            return NodeCondition(name, self.sites[name], True, down=False)
         # On its way it may serve for a moment, between a start that failed and the next.
         moving = status.course in ("trying", "going back") or status.state not in ("serving", "proving", "held")
         f = status.figures
         cold = f.cold / f.servers if f.servers else 0.0
         # One answer that is late on a busy machine is no proof that it serves nobody, and frees nobody's place.
         down = not status.running or status.silent > m.DOWN_S
-        return Now(name, self.sites[name], moving or down or not status.answers, f.rate, cold, down)
+        return NodeCondition(name, self.sites[name], moving or down or not status.answers, f.rate, cold, down)
 
-    def room(self, clock: float) -> Room:
-        return Room(self.change.ways.limits, [self._now(name, clock) for name in self.sites])
+    def room(self, clock: float) -> DisruptionBudget:
+        return DisruptionBudget(self.change.ways.limits, [self._now(name, clock) for name in self.sites])
 
     def on_goal(self, status: Status) -> bool:
         """Whether it has the goal in any way: on trial, present, or running."""
@@ -354,7 +354,7 @@
                 waits = waits or f"{name} is {status.state}"
                 continue
             # Where it has a restart to fall back on, it must be able to bear one.
-            refusal = room.refusal(name, stays=not self._order(name).restart)
+            refusal = room.refusal(name, keeps_serving=not self._order(name).restart)
             if refusal:
                 waits = waits or f"{name}: {refusal}"
                 continue
@@ -442,7 +442,7 @@
             if change.before not in status.generations:
                 stuck = stuck or f"{name} has no longer {change.before[:12]}"
                 continue
-            refusal = room.refusal(name, stays=True, needed=True)
+            refusal = room.refusal(name, keeps_serving=True, rolling_back=True)
             if refusal:
                 out.waits = out.waits or f"{name}: {refusal}"
                 continue
@@ -477,7 +477,7 @@
             if goal not in status.generations:
                 out.commands += self._fetches([name], goal, clock) if change.state is S.DONE else []
                 continue
-            if not room.refusal(name, stays=True, needed=True):
+            if not room.refusal(name, keeps_serving=True, rolling_back=True):
                 room.take(name)
                 out.commands.append(
                     Command(name, "back", goal, reason="the change is over", down=room.nodes[name].down))
--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -18,15 +18,15 @@
     Spread,
     Value,
     difference,
-    part_of,
+    error_share,
     placebo,
     pooled,
-    quantile,
     spread_of,
+    t_quantile,
     value,
 )
-from headspar.rollout.judge.intake import MOST_PROCESSES, Intake, Reading
-from headspar.rollout.judge.power import least_seen, powers
+from headspar.rollout.judge.intake import MAX_PROCESSES, Intake, Reading
+from headspar.rollout.judge.power import minimum_detectable_harm, powers
 from headspar.rollout.judge.terms import Kind, Limits, World
 from tests.rollout.judge.world import BEFORE_S, Fleet, Harm
 
@@ -51,7 +51,7 @@
         i.take(reading(up, count), now)
     assert not i.take(reading(103, 30), 3.5) and not i.take(reading(102, 20), 4.0)
     i.take(reading(104, 40), 5.0)
-    assert i.sums("n0", 0.0, 9.0)["taken"] == 40.0 and i.passed_over == {"twice or out of order": 2}
+    assert i.sums("n0", 0.0, 9.0)["taken"] == 40.0 and i.rejected == {"duplicate or out of order": 2}
 
 
 def test_a_restart_sets_counts_to_nothing_and_a_late_word_of_the_process_before_is_passed_over() -> None:
@@ -62,7 +62,7 @@
     assert not i.take(reading(102, 520, "p0"), 4.0)
     i.take(reading(4, 20, "p1"), 5.0)
     assert i.sums("n0", 0.0, 9.0) == {"spans": 5.0, "taken": 30.0}
-    assert i.starts("n0", 0.0) == 1 and i.sums("n0", 0.0, 9.0, least_age_s=1.0)["taken"] == 22.0
+    assert i.starts("n0", 0.0) == 1 and i.sums("n0", 0.0, 9.0, min_age_s=1.0)["taken"] == 22.0
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0, 50), st.integers(0, 200)), max_size=60), st.randoms())
@@ -74,21 +74,21 @@
         i.take(reading(up, float(count), f"p{process}"), now)
     sums = i.sums("n0", -1e9, 1e9)
     assert all(v >= 0 for v in sums.values())
-    assert not i.nodes or len(i.nodes["n0"].gone) <= MOST_PROCESSES
+    assert not i.nodes or len(i.nodes["n0"].past_processes) <= MAX_PROCESSES
 
 
 def test_figures_that_are_none_are_passed_over() -> None:
     i = Intake()
     for bad in (reading(1, float("nan")), reading(1, -1), reading(float("nan"), 1), reading(1, 1e300)):
         assert not i.take(bad, 0.0)
-    assert i.silent_s("n0", 5.0) == float("inf") and i.passed_over == {"no figures": 4}
+    assert i.silent_s("n0", 5.0) == float("inf") and i.rejected == {"invalid figures": 4}
 
 
 # ---------------------------------------------------------------- statistics
 
 
 def test_all_looks_together_have_no_more_than_the_error_allowed() -> None:
-    assert sum(part_of(k) for k in range(1, 10_000)) == pytest.approx(1.0, abs=1e-3)
+    assert sum(error_share(k) for k in range(1, 10_000)) == pytest.approx(1.0, abs=1e-3)
 
 
 def test_a_difference_is_taken_within_sites_and_weighed_by_traffic() -> None:
@@ -106,7 +106,7 @@
     d = difference(rows, Spread(), 0.05)
     assert d is not None and d.low == float("-inf") and d.high == float("inf")
     d = difference(rows, Spread(8.0, 8), 0.05)
-    assert d is not None and d.high - d.by == pytest.approx(quantile(0.95, 8) * 0.01 * 2**0.5)
+    assert d is not None and d.high - d.by == pytest.approx(t_quantile(0.95, 8) * 0.01 * 2**0.5)
 
 
 def test_a_stage_whose_own_spread_is_larger_for_certain_is_judged_by_that_alone() -> None:
@@ -159,7 +159,7 @@
     (Harm(failed=0.03), "failed"),
     (Harm(handshakes=3.0), "handshakes"),
     (Harm(attempts=1.4), "attempts"),
-    (Harm(neighbours=0.06), "unchanged nodes beside changed ones"),
+    (Harm(neighbours=0.06), "unchanged nodes next to changed ones"),
     (Harm(broken=0.5), "broke a rule"),
     (Harm(slower=0.05), "time to answer"),
 ])
@@ -236,7 +236,7 @@
         verdict, _ = Fleet(seed=seed, new=6, dead=lambda site, t: site == "a" and t > 20).play()
         assert verdict.kind is not Kind.BACK, verdict.reason
         verdict, at = Fleet(seed=seed, lost=lambda node, t: node in ("n000", "n001") and t > 12).play()
-        assert verdict.kind is Kind.BACK and "not told their figures" in verdict.reason and 12 < at < 30
+        assert verdict.kind is Kind.BACK and "not reported figures" in verdict.reason and 12 < at < 30
 
 
 def test_figures_that_come_late_or_twice_change_no_verdict() -> None:
@@ -259,7 +259,8 @@
 def test_harm_to_neighbours_pauses_where_servers_have_died_there_too() -> None:
     fleet = Fleet(new=2, harm=Harm(neighbours=0.06), world=World(servers_lost={"a": 0.2}))
     verdict, _ = fleet.play()
-    assert verdict.kind is Kind.PAUSE and "can't be told from the world" in verdict.reason
+    assert verdict.kind is Kind.PAUSE
+    assert "servers or traffic of a have changed, which may be the cause" in verdict.reason
 
 
 def test_the_plan_says_what_a_stage_shows_by_its_end_not_when_it_first_shows_the_margin() -> None:
@@ -297,7 +298,8 @@
 
 def test_what_a_stage_could_see_shrinks_with_nodes_and_is_endless_without_a_yardstick() -> None:
     spread = Spread(20.0, 20)
-    few, many = (least_seen(spread, 2000, 0.05, n, 3 * n, Limits(), 20, 4) for n in (1, 8))
-    assert few > 2.5 * many > 0 and least_seen(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
-    assert least_seen(spread, 2000, 0.05, 1, 0, Limits(), 20, 1) == float("inf")
-    assert least_seen(spread, 8000, 0.05, 1, 3, Limits(), 20, 4) == pytest.approx(few / 2, rel=0.05)
+    few, many = (minimum_detectable_harm(spread, 2000, 0.05, n, 3 * n, Limits(), 20, 4) for n in (1, 8))
+    assert few > 2.5 * many > 0
+    assert minimum_detectable_harm(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
+    assert minimum_detectable_harm(spread, 2000, 0.05, 1, 0, Limits(), 20, 1) == float("inf")
+    assert minimum_detectable_harm(spread, 8000, 0.05, 1, 3, Limits(), 20, 4) == pytest.approx(few / 2, rel=0.05)
--- a/tests/rollout/test_judging.py
+++ b/tests/rollout/test_judging.py
@@ -80,7 +80,7 @@
     assert "0 of 8 nodes" in judging.waits(1041.0)
     judging, fleet = looked_at()
     assert judging.before is not None and set(judging.before.sites) == set(SITES)
-    assert len(judging.before.pieces) == PIECES and judging.before.whole("n0")["taken"] > 1000
+    assert len(judging.before.pieces) == PIECES and judging.before.totals("n0")["taken"] > 1000
 
 
 @pytest.mark.parametrize("harm", [0.0, 0.2])
@@ -116,7 +116,7 @@
         assert verdict.kind is Kind.WAIT
     c.state, c.since = State.PROVING, 60.0
     verdict, _ = judging.look(c, frozenset(c.stages[0]), 60.0, fleet.now, 0)
-    assert verdict.kind is Kind.WAIT and "not all of the stage" in verdict.reason
+    assert verdict.kind is Kind.WAIT and "not all nodes of the stage" in verdict.reason
     for second in range(60):
         fleet.run(1)
         verdict, _ = judging.look(c, frozenset(c.stages[0]), 61.0 + second, fleet.now, 0)
@@ -134,7 +134,7 @@
     verdict, _ = judging.look(c, frozenset(), 15.0, fleet.now, 0)
     assert verdict.kind is Kind.WAIT  # it is down, or was never told: that is for others to say
     verdict, _ = judging.look(c, frozenset(c.stages[0]), 15.0, fleet.now, 0)
-    assert verdict.kind is Kind.BACK and "have not told their figures" in verdict.reason
+    assert verdict.kind is Kind.BACK and "have not reported figures" in verdict.reason
 
 
 def test_a_controller_that_takes_over_goes_on_from_the_record_and_holds_nobodys_silence_against_it(
@@ -171,13 +171,13 @@
 def test_traffic_and_servers_that_have_moved_are_told_by_site() -> None:
     judging, fleet = looked_at()
     world = judging.world(frozenset(SITES), fleet.now)
-    assert not world.moved("a") and not world.moved("b")
+    assert not world.has_changed("a") and not world.has_changed("b")
     fleet.now += 1
     for n, site in SITES.items():
         judging.take(n, Work("p0", 500.0, "old", {k: 9 * v for k, v in fleet.counts[n].items()},
                              {"servers": 7.0 if site == "b" else 10.0, "cold": 0.0}), fleet.now)
     world = judging.world(frozenset(SITES), fleet.now)
-    assert world.servers_lost["b"] == pytest.approx(0.3) and world.servers_lost["a"] == 0.0 and world.moved("b")
+    assert world.servers_lost["b"] == pytest.approx(0.3) and world.servers_lost["a"] == 0.0 and world.has_changed("b")
 
 
 def test_what_a_stage_could_show_is_told_and_no_stage_without_unchanged_nodes_is_named() -> None:
@@ -201,9 +201,9 @@
     for t in range(81):
         intake.take(Reading("n", "a", "old", "p", 10.0 + t, {"taken": 3.0 * t}, {}), float(t))
     before = taken(intake, 80.0, 80.0)
-    assert [len(before.taken_together(x)) for x in (1.0, 10.0, 20.0, 500.0)] == [8, 8, 4, 4]
+    assert [len(before.merged_pieces(x)) for x in (1.0, 10.0, 20.0, 500.0)] == [8, 8, 4, 4]
     for x in (1.0, 20.0, 500.0):
-        pieces = before.taken_together(x)
+        pieces = before.merged_pieces(x)
         assert len(pieces) >= 4 and sum(p["n"]["taken"] for p in pieces) == 240.0
 
 
--- a/tests/rollout/test_parts.py
+++ b/tests/rollout/test_parts.py
@@ -19,7 +19,7 @@
 from headspar.keeper.messages import Figures, Status
 from headspar.rollout import fleet
 from headspar.rollout.lease import Lease
-from headspar.rollout.limits import Limits, Now, Room
+from headspar.rollout.limits import DisruptionBudget, Limits, NodeCondition
 from headspar.rollout.record import Busy, Fenced, Record
 from headspar.rollout.stages import Candidate, plan
 from headspar.rollout.state import TABLE, Cause, Change, Command, Director, State, Ways
@@ -54,38 +54,38 @@
 # ---------------------------------------------------------------- limits
 
 
-def room(limits: Limits, **out: Now) -> Room:
-    nodes = {name: Now(name, site, False, 10.0) for name, site in SITES.items()}
-    return Room(limits, {**nodes, **out}.values())
+def room(limits: Limits, **out: NodeCondition) -> DisruptionBudget:
+    nodes = {name: NodeCondition(name, site, False, 10.0) for name, site in SITES.items()}
+    return DisruptionBudget(limits, {**nodes, **out}.values())
 
 
 def test_so_many_out_in_all_and_by_site_for_whatever_reason() -> None:
-    r = room(Limits(2, 1), a1=Now("a1", "a", True))  # one is not heard of
-    assert "1 nodes of a are out" in r.refusal("a2", stays=False)
-    assert r.refusal("b1", stays=False) == ""
+    r = room(Limits(2, 1), a1=NodeCondition("a1", "a", True))  # one is not heard of
+    assert "1 nodes of a are out" in r.refusal("a2", keeps_serving=False)
+    assert r.refusal("b1", keeps_serving=False) == ""
     r.take("b1")
-    assert "2 nodes are out" in r.refusal("b2", stays=True)
-    assert r.refusal("b1", stays=True) == ""  # it is out for this very reason
-    r = room(Limits(1, 1), a1=Now("a1", "a", True, down=True))
-    assert r.refusal("a1", stays=False) == ""  # nothing is taken away from it
+    assert "2 nodes are out" in r.refusal("b2", keeps_serving=True)
+    assert r.refusal("b1", keeps_serving=True) == ""  # it is out for this very reason
+    r = room(Limits(1, 1), a1=NodeCondition("a1", "a", True, down=True))
+    assert r.refusal("a1", keeps_serving=False) == ""  # nothing is taken away from it
 
 
 def test_the_last_healthy_node_and_a_site_that_could_not_carry_its_load_stay() -> None:
-    r = room(Limits(3, 3), b1=Now("b1", "b", True))
-    assert "last healthy node of b" in r.refusal("b2", stays=False)
-    assert r.refusal("b2", stays=True) == ""  # a second process takes over: it goes on serving
+    r = room(Limits(3, 3), b1=NodeCondition("b1", "b", True))
+    assert "last healthy node of b" in r.refusal("b2", keeps_serving=False)
+    assert r.refusal("b2", keeps_serving=True) == ""  # a second process takes over: it goes on serving
     r = room(Limits(3, 3, node_rps=18.0, headroom=1.3))
-    assert "2 nodes would carry 30" in r.refusal("a1", stays=False)
-    assert room(Limits(3, 3, node_rps=20.0, headroom=1.3)).refusal("a1", stays=False) == ""
+    assert "2 nodes would carry 30" in r.refusal("a1", keeps_serving=False)
+    assert room(Limits(3, 3, node_rps=20.0, headroom=1.3)).refusal("a1", keeps_serving=False) == ""
 
 
 def test_cold_servers_count_against_starting_nodes_but_not_against_going_back() -> None:
-    cold = {name: Now(name, site, False, 1.0, 0.6) for name, site in SITES.items()}
+    cold = {name: NodeCondition(name, site, False, 1.0, 0.6) for name, site in SITES.items()}
     r = room(Limits(2, 1), **cold)
-    assert "60% of the servers are cold" in r.refusal("a1", stays=True)
-    assert r.refusal("a1", stays=True, needed=True) == ""
-    one = {**cold, **{n: Now(n, SITES[n], False, 1.0, 0.0) for n in ("a1", "a2", "b1")}}
-    assert room(Limits(2, 1), **one).refusal("a1", stays=True) == ""  # what most of them see
+    assert "60% of the servers are cold" in r.refusal("a1", keeps_serving=True)
+    assert r.refusal("a1", keeps_serving=True, rolling_back=True) == ""
+    one = {**cold, **{n: NodeCondition(n, SITES[n], False, 1.0, 0.0) for n in ("a1", "a2", "b1")}}
+    assert room(Limits(2, 1), **one).refusal("a1", keeps_serving=True) == ""  # what most of them see
 
 
 # ---------------------------------------------------------------- files
@@ -419,5 +419,5 @@
     assert first.acquired("b", 105.0, 5.0) == Lease("b", 2, 110.0)
     assert first.released().acquired("b", 100.1, 5.0) == Lease("b", 2, 105.1)
     assert first.acquired("b", 20.0, 5.0) == Lease("b", 2, 25.0), "a clock that was set back must not hold it"
-    assert first.lifted(7).epoch == 8 and first.lifted(1) == first.lifted(0) == first
-    assert first.lifted(1, stranger=True).epoch == 2 and first.lifted(0, stranger=True) == first
+    assert first.raised_above(7).epoch == 8 and first.raised_above(1) == first.raised_above(0) == first
+    assert first.raised_above(1, unknown_steps=True).epoch == 2 and first.raised_above(0, unknown_steps=True) == first
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -18,7 +18,7 @@
 from headspar.rollout.fleet import Member
 from headspar.rollout.host import watched
 from headspar.rollout.judge.before import Before
-from headspar.rollout.judge.terms import Judged, Kind, Limits, Power, Seen, Verdict
+from headspar.rollout.judge.terms import Comparison, Judged, Kind, Limits, Power, Verdict
 from headspar.rollout.record import Record
 from headspar.rollout.report import nearest, page, picture, spans, told
 from headspar.rollout.state import Cause, Change, State, Ways
@@ -45,8 +45,8 @@
         record.moved(epoch, change, before, cause, at)
 
     def look(at: float, number: int, kind: Kind, reason: str, harm: float) -> None:
-        seen = (Seen("refused", harm, harm - 0.02, harm + 0.02, 0.05, 1, 2),
-                Seen("late", 0.001, -0.5, 0.5, 0.05, 1, 2))
+        seen = (Comparison("refused", harm, harm - 0.02, harm + 0.02, 0.05, 1, 2),
+                Comparison("late", 0.001, -0.5, 0.5, 0.05, 1, 2))
         record.looked(epoch, change, number, Verdict(kind, reason, seen), at)
 
     move(1001.0, Cause.START, State.STAGE, 0)
@@ -144,7 +144,7 @@
     change = msgspec.structs.replace(filled(Change), stages=[["a"], ["b", "c"], ["d", "e", "f"]], ways=ways)
     powers, why = asyncio.run(Fleet(silent).watch(change))
     if silent:
-        assert not powers and "only 2 of 6 nodes tell" in why
+        assert not powers and "only 2 of 6 nodes report" in why
         return
     assert why == "" and {p.stage for p in powers} == {0, 1}  # the last leaves no unchanged node
     assert {p.figure for p in powers} == {"served in time", "refused", "failed", "late"}
