--- a/headspar/rollout/cli.py
+++ b/headspar/rollout/cli.py
@@ -1,8 +1,8 @@
-"""``headspar rollout``: a change over the fleet, for people.
+"""``headspar rollout``: the command line for changes over the fleet.
 
-Exit status: 0 done, or what was asked was shown; 1 taken back, refused, or nothing to do it to; 2 a file or an option
-is no good (one line says which); 3 the change needs a person; 4 another controller has the lease, or the record
-fails; 5 paused.
+Exit status: 0 done, or the output was shown; 1 rolled back, refused, or there is no such change; 2 a file or an
+option is invalid (one line says which); 3 the change needs a person; 4 another controller holds the lease, or the
+record fails; 5 paused.
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 from headspar.operations.ledger import PER_OCTAVE
 from headspar.operator_file import JudgeTable, Operator, OperatorError, RolloutTable, parse_shares
 from headspar.rollout.fleet import FleetError, Member, load
-from headspar.rollout.host import Controller, ask_all, watched
+from headspar.rollout.host import Controller, ask_all, observe_fleet
 from headspar.rollout.judge.terms import BY_CLASS, FIGURES, Judged, Power
 from headspar.rollout.judge.terms import Limits as JudgeLimits
 from headspar.rollout.limits import Limits
 from headspar.rollout.record import Busy, Fenced, Record, RecordError
 from headspar.rollout.stages import Candidate
 from headspar.rollout.stages import plan as plan_stages
-from headspar.rollout.state import OVER, Change, State, Ways
-
-app = typer.Typer(no_args_is_help=True, help="A change of program or settings over the fleet, in stages.")
-FileArgument = Annotated[Path, typer.Argument(help="The operator's file; its table [rollout] is read.")]
-JsonOption = Annotated[bool, typer.Option("--json", help="Print it as one line of JSON.")]
-YesOption = Annotated[bool, typer.Option("--yes", help="Do it; without it, say what would be done.")]
-AnywayOption = Annotated[bool, typer.Option("--anyway", help="Also onto a fleet that is not as planned.")]
-StayOption = Annotated[bool, typer.Option("--stay", help="Go on after its end, for nodes that come back later.")]
+from headspar.rollout.state import OVER, Change, RolloutPolicy, State
+
+app = typer.Typer(no_args_is_help=True, help="Roll out a change of program or settings over the fleet, in stages.")
+FileArgument = Annotated[Path, typer.Argument(help="The operator's file, with a table [rollout].")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print one line of JSON.")]
+YesOption = Annotated[bool, typer.Option("--yes", help="Do it; without this, only say what would be done.")]
+AnywayOption = Annotated[bool, typer.Option("--anyway", help="Start even if the plan has objections.")]
+StayOption = Annotated[bool, typer.Option("--stay", help="Keep running after the end, for nodes that recover later.")]
 END = {State.DONE: 0, State.TAKEN_BACK: 1, State.PERSON: 3, State.PAUSED: 5}
 
 
 def setup(file: Path) -> tuple[Operator, list[Member], Record]:
-    """The file, the fleet and the record."""
+    """Load the operator's file, the fleet and the record; exits with a message if one is unusable."""
     try:
         operator = operator_file.load(file)
         table = operator.rollout
@@ -69,8 +69,8 @@
         raise stop(str(error), 4) from None
 
 
-def judged(table: JudgeTable, lost_s: float) -> Judged:
-    """The judge's ways, with the margins that the operators have stated."""
+def judge_settings(table: JudgeTable, lost_s: float) -> Judged:
+    """Return the judge's settings with the operators' margins."""
     margins = [table.served, table.refused, table.failed, table.late, table.attempts, table.handshakes, table.cpu,
                PER_OCTAVE * log2(1.0 + table.time)]
     figures = tuple(replace(f, margin=margin) for f, margin in zip(FIGURES, margins, strict=True))
@@ -81,21 +81,22 @@
         lost_s=lost_s, memory_mb=table.memory_mb, restarts=table.restarts))
 
 
-def ways(operator: Operator) -> Ways:
+def rollout_policy(operator: Operator) -> RolloutPolicy:
+    """Return how a change is carried out according to the operator's file."""
     table = operator.rollout
     limits = Limits(table.max_out, table.max_out_site, table.node_rps, table.headroom, table.cold_most)
-    return Ways(limits, table.proving_s, table.settle_s, table.ready_s, table.lost_s,
-                table.on_failure, table.silence, table.silence_s, table.restart,  # type: ignore[arg-type]
-                judged(operator.judge, table.lost_s))
+    return RolloutPolicy(limits, table.proving_s, table.settle_s, table.ready_s, table.lost_s,
+                         table.on_failure, table.silence, table.silence_s, table.restart,  # type: ignore[arg-type]
+                         judge_settings(operator.judge, table.lost_s))
 
 
 def print_json(value: Any) -> None:
     sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
 
 
-def planned(operator: Operator, members: list[Member], statuses: dict[str, Status | None], name: str, folder: Path,
-            ) -> tuple[Change, list[str]]:
-    """The change, and what speaks against beginning it."""
+def plan_change(operator: Operator, members: list[Member], statuses: dict[str, Status | None], name: str,
+                folder: Path) -> tuple[Change, list[str]]:
+    """Return the planned change and the objections to starting it."""
     table = operator.rollout
     try:
         goal = digest(folder)
@@ -110,77 +111,77 @@
     slots = deal([m.name for m in members], sites, table.max_out, table.max_out_site, table.slot_s,
                  random.Random(name))
     stages = plan_stages(nodes, parse_shares(table.shares) or [1.0])
-    against = []
+    objections = []
     if goal == before:
-        against.append("the fleet is at this generation already")
+        objections.append("the fleet already runs this generation")
     if not before:
-        against.append("no keeper says what runs")
-    strangers = sorted(n for n, s in statuses.items() if s is not None and s.present not in (before, goal))
-    if strangers:
-        against.append(f"of a third generation: {', '.join(strangers)}")
-    moving = sorted(n for n, s in statuses.items() if s is not None and s.course not in ("settled", "held"))
-    if moving:
-        against.append(f"not settled: {', '.join(moving)}")
-    away = sorted(n for n, s in statuses.items() if s is None)
-    if len(away) >= table.max_out:
-        against.append(f"not heard of, and only {table.max_out} may be out: {', '.join(away)}")
-    change = Change(name, goal, str(folder.absolute()), before, stages, slots, ways(operator))
-    return change, against
-
-
-def show_plan(change: Change, against: list[str], statuses: dict[str, Status | None]) -> Group:
+        objections.append("no keeper reports a running generation")
+    third_generation = sorted(n for n, s in statuses.items() if s is not None and s.present not in (before, goal))
+    if third_generation:
+        objections.append(f"on a third generation: {', '.join(third_generation)}")
+    unsettled = sorted(n for n, s in statuses.items() if s is not None and s.course not in ("settled", "held"))
+    if unsettled:
+        objections.append(f"not settled: {', '.join(unsettled)}")
+    unreachable = sorted(n for n, s in statuses.items() if s is None)
+    if len(unreachable) >= table.max_out:
+        objections.append(f"unreachable, and only {table.max_out} may be out: {', '.join(unreachable)}")
+    change = Change(name, goal, str(folder.absolute()), before, stages, slots, rollout_policy(operator))
+    return change, objections
+
+
+def show_plan(change: Change, objections: list[str], statuses: dict[str, Status | None]) -> Group:
     table = Table(box=None, header_style="bold")
     for title in ("stage", "nodes", "which"):
         table.add_column(title)
     for i, stage in enumerate(change.stages):
         table.add_row(str(i + 1), str(len(stage)), ", ".join(stage[:8]) + (" ..." if len(stage) > 8 else ""))
-    kind = "" if not against else "\n".join(f"against it: {text}" for text in against)
+    notes = "" if not objections else "\n".join(f"objection: {text}" for text in objections)
     head = f"change {change.id}: {change.before[:12]} -> {change.goal[:12]}, {len(statuses)} nodes"
-    return Group(Text(head), table, Text(kind, style="red"))
+    return Group(Text(head), table, Text(notes, style="red"))
 
 
 @app.command()
 def plan(
     file: FileArgument, folder: Annotated[Path, typer.Argument(help="The new generation's folder.")],
     name: Annotated[str, typer.Option("--name", help="The change's name.")] = "change",
-    watch: Annotated[float, typer.Option("--watch", min=0.0, max=3600.0, help="Look at the fleet for so many seconds "
-                                         "and say what each stage could show.")] = 0.0,
+    watch: Annotated[float, typer.Option("--watch", min=0.0, max=3600.0, help="Take a baseline for so many seconds "
+                                         "and show the power of each stage.")] = 0.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Say what a change would do: its stages, and what speaks against it.  Nothing is done."""
+    """Show the stages of a change and the objections to it, without doing anything."""
     operator, members, _ = setup(file)
     statuses = asyncio.run(ask_all(members))
-    change, against = planned(operator, members, statuses, name, folder)
+    change, objections = plan_change(operator, members, statuses, name, folder)
     powers: list[Power] = []
     if watch:
-        powers, said = asyncio.run(watched(members, replace(change.ways.judge, watch_s=watch), change))
-        if said:
-            raise stop(f"--watch: {said}", 1)
+        powers, reason = asyncio.run(observe_fleet(members, replace(change.ways.judge, watch_s=watch), change))
+        if reason:
+            raise stop(f"--watch: {reason}", 1)
     if as_json:
-        print_json({"change": change, "against": against, "powers": powers})
+        print_json({"change": change, "against": objections, "powers": powers})
     else:
-        Console().print(show_plan(change, against, statuses))
+        Console().print(show_plan(change, objections, statuses))
         for p in powers:
             print(("" if p.enough else "TOO LITTLE: ") + power_line(p))
-    if against:
+    if objections:
         raise typer.Exit(1)
 
 
 @app.command()
 def start(
     file: FileArgument, folder: Annotated[Path, typer.Argument(help="The new generation's folder.")],
-    name: Annotated[str, typer.Option("--name", help="The change's name, which no other has had.")],
+    name: Annotated[str, typer.Option("--name", help="A name for the change that has not been used.")],
     yes: YesOption = False, anyway: AnywayOption = False, stay: StayOption = False, as_json: JsonOption = False,
 ) -> None:
-    """Begin a change, and lead it to its end."""
+    """Start a change and lead it to its end."""
     operator, members, record = setup(file)
     table = operator.rollout
     statuses = asyncio.run(ask_all(members))
-    change, against = planned(operator, members, statuses, name, folder)
-    if against and not anyway or not yes:
-        Console(stderr=as_json).print(show_plan(change, against, statuses))
-        if against and not anyway:
-            raise stop("not begun; --anyway begins it all the same", 1)
+    change, objections = plan_change(operator, members, statuses, name, folder)
+    if objections and not anyway or not yes:
+        Console(stderr=as_json).print(show_plan(change, objections, statuses))
+        if objections and not anyway:
+            raise stop("not started; --anyway starts it despite the objections", 1)
         raise stop("nothing done; --yes does it", 0)
     try:
         record.create(change, time.time())
@@ -193,19 +194,19 @@
 
 @app.command("run")
 def lead(file: FileArgument, stay: StayOption = False, as_json: JsonOption = False) -> None:
-    """Lead the change that the record holds, as soon as nobody else does."""
+    """Lead the change in the record as soon as no other controller does."""
     operator, members, record = setup(file)
-    _lead(operator.rollout, members, record, stay, as_json, stands_by=True)
+    _lead(operator.rollout, members, record, stay, as_json, standby=True)
 
 
 def _lead(table: RolloutTable, members: list[Member], record: Record, stay: bool, as_json: bool,
-          stands_by: bool = False) -> None:
+          standby: bool = False) -> None:
     holder = f"{socket.gethostname()}/{os.getpid()}"
     console = Console(stderr=True)
     live = Live(console=console, refresh_per_second=4) if console.is_terminal and not as_json else None
     controller = Controller(
         record, members, Events(), holder, poll_s=table.poll_s, lease_s=table.lease_s, stay=stay,
-        stands_by=stands_by,
+        standby=standby,
         show=(lambda c: live.update(screen(c))) if live is not None else None,
     )
     try:
@@ -221,11 +222,11 @@
             live.stop()
     if change is None:
         raise stop("there is no change", 1)
-    _say(change, as_json)
+    _print_change(change, as_json)
     raise typer.Exit(END.get(change.state, 0))
 
 
-def _say(change: Change, as_json: bool) -> None:
+def _print_change(change: Change, as_json: bool) -> None:
     if as_json:
         print_json(change)
     else:
@@ -234,28 +235,28 @@
 
 
 def screen(controller: Controller) -> Group:
-    """A change as it goes on: stage, sites, nodes by state, what holds it up."""
+    """Return the live view of a change: stage, nodes by site and state, and what it waits for."""
     director = controller.director
     assert director is not None
     change, clock = director.change, controller.clock()
     stage = f"stage {change.stage + 1} of {len(change.stages)}"
     head = f"change {change.id}: {change.state.value}, {stage}, {clock:.0f} s"
     table = Table(box=None, header_style="bold")
-    for title in ("site", "nodes", "old", "changing", "on trial", "proven", "new", "not heard of"):
+    for title in ("site", "nodes", "old", "changing", "on trial", "proven", "new", "unreachable"):
         table.add_column(title)
     for site in sorted(set(director.sites.values())):
-        counts = dict.fromkeys(("old", "changing", "on trial", "proven", "new", "away"), 0)
+        counts = dict.fromkeys(("old", "changing", "on trial", "proven", "new", "unreachable"), 0)
         names = [n for n, s in director.sites.items() if s == site]
         for name in names:
-            counts[kind(director.fresh(name, clock), change)] += 1
+            counts[node_stage(director.fresh_status(name, clock), change)] += 1
         table.add_row(site, str(len(names)), *(str(n) for n in counts.values()))
     return Group(Text(head), table, Text(f"waits: {controller.decision.waits}" if controller.decision.waits else ""))
 
 
-def kind(status: Status | None, change: Change) -> str:
-    """Where a node stands in a change, in a word."""
+def node_stage(status: Status | None, change: Change) -> str:
+    """Return a node's state within a change, as a column of the live view."""
     if status is None:
-        return "away"
+        return "unreachable"
     if status.trial == change.goal:
         return "proven" if status.proved else "on trial" if status.course == "proving" else "changing"
     if status.present == change.goal and status.course == "settled":
@@ -265,18 +266,18 @@
 
 @app.command()
 def status(file: FileArgument, as_json: JsonOption = False) -> None:
-    """The change under way, or the last one, and every node."""
+    """Show the current or last change, and every node."""
     _, members, record = setup(file)
     found = record.latest()
     statuses = asyncio.run(ask_all(members))
     holder, epoch, until = record.holder()
-    led = holder if until > time.time() else ""
+    leader = holder if until > time.time() else ""
     if as_json:
-        print_json({"change": found[0] if found else None, "led_by": led, "epoch": epoch, "nodes": statuses})
+        print_json({"change": found[0] if found else None, "led_by": leader, "epoch": epoch, "nodes": statuses})
         return
     if found is not None:
-        _say(found[0], False)
-        print(f"led by {led}, epoch {epoch}" if led else f"nobody leads it; last epoch {epoch}")
+        _print_change(found[0], False)
+        print(f"led by {leader}, epoch {epoch}" if leader else f"no controller leads it; last epoch {epoch}")
     Console().print(rows(statuses))
 
 
@@ -285,7 +286,7 @@
     file: FileArgument, seconds: Annotated[float, typer.Option("--every", min=0.1)] = 1.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Show the change until it is over; with --json a line for each state that it comes to."""
+    """Follow the change until it is over; with --json, print a line for each state that it enters."""
     _, members, record = setup(file)
     seen: tuple[State, int] | None = None
     while as_json and (found := record.latest()) is not None:
@@ -321,37 +322,37 @@
     by = f"{os.environ.get('USER', 'uid')} {os.getuid()}"
     record.request(found[0].id, what, by, time.time())
     holder, _, until = record.holder()
-    led = holder if until > time.time() else ""
+    leader = holder if until > time.time() else ""
     if as_json:
-        print_json({"change": found[0].id, "asked": what, "led_by": led})
+        print_json({"change": found[0].id, "asked": what, "led_by": leader})
     else:
-        print(f"asked {led}" if led else "nobody leads it now: 'headspar rollout run' takes it up")
+        print(f"asked {leader}" if leader else "no controller leads it now; start one with 'headspar rollout run'")
 
 
 @app.command()
 def pause(file: FileArgument, as_json: JsonOption = False) -> None:
-    """Let the change stand where it is."""
+    """Pause the change."""
     _request(file, "pause", True, as_json)
 
 
 @app.command()
 def resume(file: FileArgument, as_json: JsonOption = False) -> None:
-    """Let it go on, and try again what had failed."""
+    """Resume the change, and retry what failed."""
     _request(file, "resume", True, as_json)
 
 
 @app.command()
 def back(file: FileArgument, yes: YesOption = False, as_json: JsonOption = False) -> None:
-    """Take the change back, in steps within the limits."""
+    """Roll the change back, in steps within the limits."""
     _request(file, "back", yes, as_json)
 
 
 def power_line(p: Power) -> str:
-    """What a stage could show of a figure, in a line."""
-    least = f"{p.least:.3f}" if p.least is not None else "nothing"
+    """Return one line about the power of a stage for a figure."""
+    least = f"{p.least:.3f}" if p.least is not None else "none"
     needs = f"{p.needs_s:.0f} s" if p.needs_s is not None else "over a day"
-    return (f"stage {p.stage + 1}: {p.figure}: {p.new} nodes against {p.old} would show {least} in time; "
-            f"the margin of {p.margin:g} needs {needs}")
+    return (f"stage {p.stage + 1}: {p.figure}: {p.new} nodes against {p.old}, smallest detectable harm "
+            f"{least}; the margin of {p.margin:g} needs {needs}")
 
 
 @app.command()
@@ -359,12 +360,12 @@
     file: FileArgument, name: Annotated[str, typer.Argument(help="The change.")],
     out: Annotated[Path, typer.Option("--out", help="The page to write (HTML).")] = Path("change.html"),
 ) -> None:
-    """Write a page of a change: its stages over time, what the judge saw and said, what was decided when and why."""
-    from headspar.rollout.report import page, told  # its libraries take a second that other commands need not wait
+    """Write an HTML page about a change: its stages over time, the looks of the judge, and the transitions."""
+    from headspar.rollout.report import collect, page  # its libraries take a second to load
 
     writable(out)
     _, _, record = setup(file)
-    found = told(record, name)
+    found = collect(record, name)
     if found is None:
         raise stop(f"there has been no change {name!r}", 1)
     try:
@@ -375,10 +376,11 @@
 
 @app.command()
 def history(
-    file: FileArgument, name: Annotated[str | None, typer.Argument(help="One change: its moves and steps.")] = None,
+    file: FileArgument,
+    name: Annotated[str | None, typer.Argument(help="A change, to list its transitions and steps.")] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """All changes, or all moves and steps of one."""
+    """List all changes, or all transitions and steps of one."""
     _, _, record = setup(file)
     if name is None:
         changes = record.changes()
@@ -387,7 +389,7 @@
             return
         for change, began in changes:
             print(f"{time.strftime('%Y-%m-%d %H:%M:%S', time.localtime(began))}  ", end="")
-            _say(change, False)
+            _print_change(change, False)
         return
     moves, steps, looks = record.moves(name), record.steps(name), record.looks(name)
     powers = record.powers(name)
--- a/headspar/rollout/host.py
+++ b/headspar/rollout/host.py
@@ -1,4 +1,4 @@
-"""The controller: it holds the lease, hears the keepers, and carries out what the director decides."""
+"""The controller: holds the lease, polls the keepers, and carries out what the director decides."""
 
 from __future__ import annotations
 
@@ -18,18 +18,29 @@
 from headspar.rollout.fleet import Member
 from headspar.rollout.judge.terms import Judged, Power
 from headspar.rollout.record import Fenced, Record, Step
-from headspar.rollout.state import HOLDING, OVER, TABLE, Cause, Change, Command, Decision, Director, State, word
+from headspar.rollout.state import (
+    OVER,
+    RESEND_STATES,
+    TABLE,
+    Cause,
+    Change,
+    Command,
+    Decision,
+    Director,
+    State,
+    command_message,
+)
 
 if TYPE_CHECKING:
     from headspar.rollout.judging import Judging
 
-ANSWER_S = 2.0
-FETCH_S = 120.0
+ANSWER_S = 2.0  # timeout of a keeper's answer
+FETCH_S = 120.0  # timeout of a keeper that copies a generation
 REQUESTS = {"pause": Cause.PAUSE, "resume": Cause.RESUME, "back": Cause.BACK}
 
 
 async def send(member: Member, message: Any, seconds: float = ANSWER_S) -> m.Reply:
-    """A keeper's answer; ``OSError`` where none comes in time."""
+    """Send a message to a keeper and return its reply; raises ``OSError`` without a reply in ``seconds``."""
     writer = None
     try:
         async with asyncio.timeout(seconds):
@@ -46,7 +57,7 @@
 
 
 async def ask_all(members: Sequence[Member], seconds: float = ANSWER_S) -> dict[str, m.Status | None]:
-    """Every keeper's status; None where there is no answer."""
+    """Return the status of each node's keeper; None without an answer."""
     async def one(member: Member) -> m.Status | None:
         try:
             return (await send(member, m.Ask(), seconds)).status
@@ -57,17 +68,19 @@
     return {member.name: status for member, status in zip(members, found, strict=True)}
 
 
-async def watched(members: list[Member], ways: Judged, change: Change) -> tuple[list[Power], str]:
-    """Look at a fleet as it is, as before a change, for ``ways.watch_s``: what each stage could show, or why nothing
-    can be said."""
-    from headspar.rollout.judging import Judging  # what it compares with takes a second to load
+async def observe_fleet(members: list[Member], ways: Judged, change: Change) -> tuple[list[Power], str]:
+    """Take a baseline of the fleet for ``ways.watch_s`` seconds, as before a change.
+
+    Returns the power of each stage, and why there is none (empty if there is).
+    """
+    from headspar.rollout.judging import Judging  # its libraries take a second to load
 
     judging = Judging(ways, {member.name: member.site for member in members}, time.monotonic(), None)
 
     async def measure(member: Member) -> None:
         while True:
             with contextlib.suppress(OSError):
-                take(judging, member, await send(member, m.Measure()))
+                record_work(judging, member, await send(member, m.Measure()))
             await asyncio.sleep(ways.every_s)
 
     tasks = [asyncio.create_task(measure(member)) for member in members]
@@ -83,79 +96,86 @@
     return judging.powers(change), ""
 
 
-def take(judging: Judging, member: Member, reply: m.Reply) -> None:
-    """What a keeper has said of its node's work, if it is that node's."""
+def record_work(judging: Judging, member: Member, reply: m.Reply) -> None:
+    """Pass on a node's work report, if the reply is that node's and has one."""
     if reply.work is not None and reply.status is not None and reply.status.name == member.name:
         judging.take(member.name, reply.work, time.monotonic())
 
 
 class Controller:
-    """One controller.  ``stay``: go on after the change is over, for nodes that come back later, and for new ones."""
+    """A controller process.
+
+    ``stay``: keep running after the end of the change, for nodes that recover later and for new changes.
+    ``standby``: after losing the lease, wait for it again instead of ending.
+    """
 
     def __init__(self, record: Record, members: Sequence[Member], events: Events, holder: str, *,
-                 poll_s: float = 0.5, lease_s: float = 10.0, stay: bool = False, stands_by: bool = False,
+                 poll_s: float = 0.5, lease_s: float = 10.0, stay: bool = False, standby: bool = False,
                  show: Callable[[Controller], None] | None = None) -> None:
         self.record, self.events, self.holder = record, events, holder
         self.members = {member.name: member for member in members}
         self.poll_s, self.lease_s, self.stay, self.show = poll_s, lease_s, stay, show
-        self.stands_by = stands_by
-        self.asked_to_end = False
-        self._begin_anew()
+        self.standby = standby
+        self.stop_requested = False
+        self._reset()
 
-    def _begin_anew(self) -> None:
-        """Know nothing: what was heard under an epoch that is over is older than what its holder has done since."""
+    def _reset(self) -> None:
+        """Forget everything: state from an earlier epoch is older than what the next holder has done since."""
         self.epoch = 0
         self.director: Director | None = None
-        self.began = 0.0  # wall clock of the change's beginning
+        self.began = 0.0  # wall clock at the start of the change
         self.decision = Decision()
         self.judging: Judging | None = None
-        self.looks = 0  # of the stage under way
-        self.looked_at: tuple[int, float] = (-1, -1.0)
+        self.looks = 0  # number of looks at the current stage
+        self.looked_stage: tuple[int, float] = (-1, -1.0)
         self.busy: dict[str, asyncio.Task[None]] = {}
-        self.copying: dict[str, asyncio.Task[None]] = {}
+        self.fetching: dict[str, asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.renewed = 0.0
         self.stopping = asyncio.Event()
-        self.said = ""
-        self.failed: BaseException | None = None
+        self.last_wait_reason = ""
+        self.failure: BaseException | None = None
 
-    # ------------------------------------------------------------ life
+    # ------------------------------------------------------------ life cycle
 
     async def run(self) -> Change | None:
-        """Take the lease as soon as it is free, and lead until the change is over (or, with ``stay``, until SIGTERM);
-        the change as it stands then.  ``Fenced`` if the lease is lost on the way; one that ``stands_by`` begins anew
-        then and waits for it again, so that a stall of the machine leaves no change without a controller."""
+        """Acquire the lease as soon as it is free, lead until the change is over, and return the change.
+
+        With ``stay`` it leads until SIGTERM.  Raises ``Fenced`` if the lease is lost on the way, except with
+        ``standby``: the controller then waits for the lease again, so that a stall of the machine does not leave
+        the change without a controller.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._end)
+            loop.add_signal_handler(number, self._request_stop)
         while True:
             try:
-                return await self._hold_and_lead()
+                return await self._acquire_and_lead()
             except Fenced as error:
-                if not self.stands_by or self.asked_to_end:
+                if not self.standby or self.stop_requested:
                     raise
                 self.events.say("rollout.fenced", holder=self.holder, epoch=self.epoch, why=str(error))
-                self._begin_anew()
+                self._reset()
 
-    def _end(self) -> None:
-        self.asked_to_end = True
+    def _request_stop(self) -> None:
+        self.stop_requested = True
         self.stopping.set()
 
-    async def _hold_and_lead(self) -> Change | None:
-        if not await self._lease():
+    async def _acquire_and_lead(self) -> Change | None:
+        if not await self._acquire():
             return None
         try:
             await self._lead()
         finally:
-            tasks = [*self.tasks, *self.busy.values(), *self.copying.values()]
+            tasks = [*self.tasks, *self.busy.values(), *self.fetching.values()]
             for task in tasks:
                 task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)  # no word of an epoch that is over goes out later
+            await asyncio.gather(*tasks, return_exceptions=True)  # no command goes out after the release
             self.record.release(self.epoch)
             self.events.say("rollout.lease", holder=self.holder, epoch=self.epoch, held=False)
         return self.director.change if self.director is not None else None
 
-    async def _lease(self) -> bool:
+    async def _acquire(self) -> bool:
         while not self.stopping.is_set():
             now = time.time()
             epoch = self.record.acquire(self.holder, now, self.lease_s)
@@ -163,10 +183,10 @@
                 self.epoch, self.renewed = epoch, now
                 self.events.say("rollout.lease", holder=self.holder, epoch=epoch, held=True)
                 return True
-            await self._pause(min(1.0, self.lease_s / 10))
+            await self._sleep(min(1.0, self.lease_s / 10))
         return False
 
-    async def _pause(self, seconds: float) -> None:
+    async def _sleep(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
                 await self.stopping.wait()
@@ -175,15 +195,15 @@
 
     async def _lead(self) -> None:
         for member in self.members.values():
-            self.tasks.add(asyncio.create_task(self._hear(member)))
-            self.tasks.add(asyncio.create_task(self._measure(member)))
+            self.tasks.add(asyncio.create_task(self._poll_status(member)))
+            self.tasks.add(asyncio.create_task(self._poll_work(member)))
         while not self.stopping.is_set():
             now = time.time()
             if now - self.renewed > self.lease_s / 4:
                 self.record.renew(self.epoch, now, self.lease_s)
                 self.renewed = now
             if self._load():
-                self._once()
+                self._step()
                 assert self.director is not None
                 if self.show is not None:
                     self.show(self)
@@ -192,12 +212,12 @@
                     return
             elif not self.stay:
                 return
-            await self._pause(self.poll_s / 2)
-        if self.failed is not None:
-            raise self.failed
+            await self._sleep(self.poll_s / 2)
+        if self.failure is not None:
+            raise self.failure
 
     def _load(self) -> bool:
-        """The change to be led; False if there is none."""
+        """Load the change to lead; return False if there is none."""
         if self.director is not None and self.director.change.state not in OVER:
             return True
         found = self.record.latest()
@@ -208,25 +228,25 @@
             self.began = began
             sites = {member.name: member.site for member in self.members.values()}
             self.director = Director(change, sites, self.clock())
-            for node, at in self.record.told(change.id).items():
+            for node, at in self.record.try_times(change.id).items():
                 if node in sites:
-                    self.director.told(node, at - began)
+                    self.director.record_try(node, at - began)
             judge = change.ways.judge
             self.judging = None
             if judge.on and change.state not in OVER:
-                from headspar.rollout.judging import Judging  # its libraries take longer to load than all the rest
+                from headspar.rollout.judging import Judging  # its libraries take longer to load than everything else
 
                 self.judging = Judging(judge, sites, time.monotonic(), self.record.before(change.id))
         return True
 
     def clock(self) -> float:
-        """Seconds of the change."""
+        """Return the seconds since the start of the change."""
         return time.time() - self.began
 
-    # ------------------------------------------------------------ hearing
+    # ------------------------------------------------------------ polling the keepers
 
-    async def _hear(self, member: Member) -> None:
-        """A word to a keeper and its state, over and over; the first one tells it of our epoch."""
+    async def _poll_status(self, member: Member) -> None:
+        """Poll a keeper's status forever; the first message also makes our epoch known to it."""
         while True:
             director = self.director
             try:
@@ -234,74 +254,77 @@
                 reply = await send(member, m.Touch(node=member.name, epoch=self.epoch, clock=clock))
                 status = reply.status
                 if status is not None and status.name == member.name:
-                    self._lift(status)
+                    self._raise_epoch(status)
                     if director is not None:
-                        director.heard(member.name, status, self.clock())
+                        director.receive_status(member.name, status, self.clock())
             except Fenced as error:
-                self.failed = error
+                self.failure = error
                 self.stopping.set()
                 return
             except OSError:
                 pass
             await asyncio.sleep(self.poll_s)
 
-    async def _measure(self, member: Member) -> None:
-        """What a node has done, over and over, while a change is judged."""
+    async def _poll_work(self, member: Member) -> None:
+        """Poll a node's work report while a change is judged."""
         while True:
             judging = self.judging
             if judging is None:
                 await asyncio.sleep(self.poll_s)
                 continue
             with contextlib.suppress(OSError):
-                take(judging, member, await send(member, m.Measure()))
+                record_work(judging, member, await send(member, m.Measure()))
             await asyncio.sleep(judging.ways.every_s)
 
-    def _lift(self, status: m.Status) -> None:
-        """Keepers that have heard of a later epoch or step than the record tell that it was lost, or restored from
-        an older copy: ours goes above theirs, if the lease is still ours; else we are fenced."""
+    def _raise_epoch(self, status: m.Status) -> None:
+        """Raise our epoch and steps above a keeper's; raises ``Fenced`` if the lease is no longer ours.
+
+        A keeper that has seen a later epoch or step than the record shows that the record was lost or restored from
+        an older copy.
+        """
         if status.epoch > self.epoch or status.step > self.record.last_step:
-            self.epoch = self.record.lift(self.epoch, status.epoch, status.step)
+            self.epoch = self.record.raise_epoch(self.epoch, status.epoch, status.step)
 
-    # ------------------------------------------------------------ one round
+    # ------------------------------------------------------------ one iteration
 
-    def _once(self) -> None:
+    def _step(self) -> None:
         director = self.director
         assert director is not None
         clock = self.clock()
-        self._requests(director)
+        self._handle_requests(director)
         if director.change.state is State.PLANNED:
-            if self._watching(director.change):
+            if self._awaiting_baseline(director.change):
                 return
             self._move(Cause.START, "")
-        # Whoever can be heard is heard before anything is decided: it knows of our epoch then.
-        heard = sum(seen.at >= director.began for seen in director.seen.values())
-        if heard < len(director.seen) and clock - director.began < max(2 * self.poll_s, ANSWER_S):
+        # Every reachable keeper answers before anything is decided, so that it knows our epoch.
+        reported = sum(seen.at >= director.began for seen in director.observations.values())
+        if reported < len(director.observations) and clock - director.began < max(2 * self.poll_s, ANSWER_S):
             return
         open_steps: dict[str, list[Step]] = {}
         for step in self.record.steps(director.change.id, open_only=True):
             open_steps.setdefault(step.node, []).append(step)
-        director.doubtful = {*open_steps, *self.busy}
+        director.unacknowledged = {*open_steps, *self.busy}
         self._judge(director, clock)
         decision = self.decision = director.decide(clock)
-        self._waits(decision.waits)
+        self._report_wait(decision.waits)
         for command in decision.commands:
             if command.say == "fetch":
-                self._copy(command)
+                self._start_fetch(command)
             elif command.node not in self.busy:
-                self._go(command.node, self._tell(command, open_steps.pop(command.node, [])))
+                self._spawn(command.node, self._send_command(command, open_steps.pop(command.node, [])))
         for node, steps in open_steps.items():
-            if node not in self.busy and director.fresh(node, clock) is not None:
-                self._go(node, self._again(steps))
+            if node not in self.busy and director.fresh_status(node, clock) is not None:
+                self._spawn(node, self._resend(steps))
         if decision.cause is not None:
             self._move(decision.cause, decision.why, decision.judged)
 
-    def _watching(self, change: Change) -> bool:
-        """Whether the fleet has still to be looked at before the change begins."""
+    def _awaiting_baseline(self, change: Change) -> bool:
+        """Return whether the change still waits for its baseline; take and store it when it is due."""
         judging, now = self.judging, time.monotonic()
         if judging is None or judging.before is not None:
             return False
         waits = judging.waits(now)
-        self._waits(waits)
+        self._report_wait(waits)
         if waits:
             return True
         before = judging.look_before(now)
@@ -314,16 +337,16 @@
         return False
 
     def _judge(self, director: Director, clock: float) -> None:
-        """Look at the stage under way."""
+        """Have the current stage judged, and record a new verdict."""
         judging, change = self.judging, director.change
-        if judging is None or judging.before is None or not director.judges \
+        if judging is None or judging.before is None or not director.is_judged \
                 or change.state not in (State.STAGE, State.PROVING):
             return
         at = change.stage, change.stage_since
-        if self.looked_at != at:
-            self.looked_at = at
+        if self.looked_stage != at:
+            self.looked_stage = at
             self.looks = max((k.look for k in self.record.looks(change.id) if k.stage == change.stage), default=0)
-        changed = frozenset(n for n, s in director.seen.items()
+        changed = frozenset(n for n, s in director.observations.items()
                             if s.status is not None and s.status.running == change.goal)
         verdict, new = judging.look(change, changed, clock, time.monotonic(), self.looks)
         director.verdict = verdict
@@ -334,22 +357,22 @@
             self.events.say("rollout.judged", change=change.id, stage=change.stage, look=self.looks,
                             verdict=verdict.kind.value, why=verdict.reason)
 
-    def _waits(self, why: str) -> None:
-        if why != self.said:
-            self.said = why
+    def _report_wait(self, why: str) -> None:
+        if why != self.last_wait_reason:
+            self.last_wait_reason = why
             if why and self.director is not None:
                 self.events.say("rollout.waits", change=self.director.change.id, why=why)
 
-    def _go(self, node: str, work: Any) -> None:
+    def _spawn(self, node: str, work: Any) -> None:
         task = asyncio.create_task(work)
         self.busy[node] = task
-        task.add_done_callback(lambda done: self._done(node, done))
+        task.add_done_callback(lambda done: self._task_done(node, done))
 
-    def _done(self, node: str, task: asyncio.Task[None]) -> None:
+    def _task_done(self, node: str, task: asyncio.Task[None]) -> None:
         if self.busy.get(node) is task:
             del self.busy[node]
         if not task.cancelled() and task.exception() is not None:
-            self.failed = task.exception()  # fenced, or the record's disk has failed: nothing is to be done by us
+            self.failure = task.exception()  # fenced, or the record's disk has failed: this controller must stop
             self.stopping.set()
 
     def _move(self, cause: Cause, why: str, judged: bool = False) -> None:
@@ -366,8 +389,8 @@
             self.events.say("rollout.stage", change=change.id, stage=change.stage,
                             nodes=len(change.stages[change.stage]))
 
-    def _requests(self, director: Director) -> None:
-        """What people want of the change."""
+    def _handle_requests(self, director: Director) -> None:
+        """Apply the requests that people have made of the change."""
         for number, what, by in self.record.requests(director.change.id):
             cause = REQUESTS[what]
             try:
@@ -377,12 +400,12 @@
                 answer = "taken"
             except KeyError:
                 answer = f"not while {director.change.state.value}"
-            self.record.took(self.epoch, number, answer)
+            self.record.close_request(self.epoch, number, answer)
 
-    # ------------------------------------------------------------ words
+    # ------------------------------------------------------------ commands
 
-    async def _tell(self, command: Command, open_steps: list[Step]) -> None:
-        """A new step to a node; what was open there before is overtaken, or is this very word."""
+    async def _send_command(self, command: Command, open_steps: list[Step]) -> None:
+        """Send a command to a node; its open steps are superseded, or resent if one is the same command."""
         same = next((s for s in reversed(open_steps) if s.command == command), None)
         for step in open_steps:
             if step is not same:
@@ -395,14 +418,14 @@
         number = self.record.intent(self.epoch, self.director.change.id, command, time.time())
         failpoint("rollout.intent")
         if command.say == "try":
-            self.director.told(command.node, self.clock())
+            self.director.record_try(command.node, self.clock())
         await self._deliver(number, command)
 
-    async def _again(self, steps: list[Step]) -> None:
-        """A node that was told something and never answered: the same step again, if it still holds."""
+    async def _resend(self, steps: list[Step]) -> None:
+        """Resend the latest open step of a node, if its command still applies; earlier ones are superseded."""
         assert self.director is not None
         for step in steps:
-            if self.director.change.state in HOLDING[step.say] and step is steps[-1]:
+            if self.director.change.state in RESEND_STATES[step.say] and step is steps[-1]:
                 await self._deliver(step.number, step.command)
             elif step is not steps[-1]:
                 self.record.outcome(self.epoch, step.number, "overtaken", "", time.time())
@@ -413,25 +436,25 @@
         change = director.change.id
         self.events.say("rollout.step", change=change, step=number, node=command.node, say=command.say)
         try:
-            reply = await send(self.members[command.node], word(command, self.epoch, self.clock(), number))
+            reply = await send(self.members[command.node], command_message(command, self.epoch, self.clock(), number))
         except OSError as error:
             self.events.say("rollout.answered", change=change, step=number, node=command.node, ok=False,
                             why=str(error))
-            return  # it stays open: whether it was taken nobody knows
+            return  # the step stays open: the keeper may or may not have taken it
         failpoint("rollout.answered")
         if reply.status is not None:
-            director.heard(command.node, reply.status, self.clock())
+            director.receive_status(command.node, reply.status, self.clock())
         self.record.outcome(self.epoch, number, "ok" if reply.ok else "refused", reply.why, time.time())
         failpoint("rollout.outcome")
         self.events.say("rollout.answered", change=change, step=number, node=command.node, ok=reply.ok,
                         why=reply.why)
 
-    def _copy(self, command: Command) -> None:
-        """A generation for a node, beside all else: nothing is changed by it."""
-        if command.node not in self.copying:
+    def _start_fetch(self, command: Command) -> None:
+        """Have a node fetch a generation in the background, as this does not affect its service."""
+        if command.node not in self.fetching:
             task = asyncio.create_task(self._fetch(command))
-            self.copying[command.node] = task
-            task.add_done_callback(lambda _: self.copying.pop(command.node, None))
+            self.fetching[command.node] = task
+            task.add_done_callback(lambda _: self.fetching.pop(command.node, None))
 
     async def _fetch(self, command: Command) -> None:
         assert self.director is not None
@@ -443,7 +466,7 @@
         except OSError:
             return
         if reply.status is not None:
-            self.director.heard(command.node, reply.status, self.clock())
+            self.director.receive_status(command.node, reply.status, self.clock())
         if not reply.ok:
             self.events.say("rollout.answered", change=change.id, step=0, node=command.node, ok=False, why=reply.why)
             await asyncio.sleep(self.poll_s)
--- a/headspar/rollout/judge/compare.py
+++ b/headspar/rollout/judge/compare.py
@@ -1,13 +1,14 @@
 """Statistics of the comparison of old and new nodes over the same time (difference in differences).  No I/O.
 
 The unit is the node, not the request: nodes of one version differ without a reason, and the requests of one node are
-correlated.  Each node's figure is compared with the same node's baseline, and the change of the new nodes with that of
-the unchanged nodes of the same site in the same seconds.
+correlated.  Each node's figure is compared with the same node's baseline, and the change of the new nodes with that
+of the unchanged nodes of the same site in the same seconds.
 
 The spread of a node's figure is estimated as a multiple of its *sampling variance*, which is what counting alone
-would cause (low traffic, bad seconds and short periods vary more, for all nodes alike).  The estimate pools the spread within both groups
-with that between pieces of the baseline, in which nothing was changed (placebo comparisons); with only a few nodes,
-the latter is most of what is known.  If the groups' own multiple is significantly larger, it is used alone.
+would cause (low traffic, bad seconds and short periods vary more, for all nodes alike).  The estimate pools the
+spread within both groups with that between pieces of the baseline, in which nothing was changed (placebo
+comparisons); with only a few nodes, the latter is most of what is known.  If the groups' own multiple is
+significantly larger, it is used alone.
 
 The number of looks is not limited: look k spends a part 1 / (k (k + 1)) of the error allowed.  The parts sum to 1, so
 the bound holds however correlated the looks are (alpha spending).  Intervals use Student's t; Welch's degrees of
--- a/headspar/rollout/judge/intake.py
+++ b/headspar/rollout/judge/intake.py
@@ -140,7 +140,8 @@
     def silent_s(self, node: str, now: float) -> float:
         """Return the seconds since the node's last accepted reading, or since the intake started."""
         history = self.nodes.get(node)
-        return now - (max(history.received_at, self.started_at) if history is not None and history.process else self.started_at)
+        return now - (max(history.received_at, self.started_at)
+                      if history is not None and history.process else self.started_at)
 
     def latest(self, node: str) -> Mapping[str, float]:
         """Return the node's last gauges; empty with fewer than two readings."""
--- a/headspar/rollout/judge/judge.py
+++ b/headspar/rollout/judge/judge.py
@@ -108,7 +108,7 @@
     # ------------------------------------------------------------ guards
 
     def _dead_sites(self, now: float, silent_for_s: float) -> set[str]:
-        """Return the sites in which at least half of the unchanged nodes have been silent for ``silent_for_s`` seconds."""
+        """Return the sites in which at least half of the unchanged nodes were silent for ``silent_for_s`` seconds."""
         out = set()
         for site in self.sites:
             old = [n for n in self.old if self._site(n) == site]
@@ -159,8 +159,8 @@
         reporting = sum(slopes[n] is not None for n in new)
         if reporting and len(full) >= max(1, ceil(0.75 * reporting)):
             rate = sorted(s[0] for n in full if (s := slopes[n]) is not None)[0]
-            return Verdict(Kind.BACK, f"memory of {len(full)} changed nodes grows by {60 * rate:.2f} MB per minute or "
-                                      f"more and exceeds {self.limits.memory_mb:.0f} MB within the hour")
+            return Verdict(Kind.BACK, f"memory of {len(full)} changed nodes grows by {60 * rate:.2f} MB per minute "
+                                      f"or more and exceeds {self.limits.memory_mb:.0f} MB within the hour")
         return None
 
     # ------------------------------------------------------------ figures
@@ -203,7 +203,8 @@
         seen.sort(key=lambda s: s.margin - s.harm)
         worse = [s for s in seen if s.low > 0 and s.harm >= s.margin]
         if worse:
-            return Verdict(Kind.BACK, f"{_describe(worse[0])}: significantly worse, by the margin or more", tuple(seen))
+            return Verdict(Kind.BACK, f"{_describe(worse[0])}: significantly worse, by the margin or more",
+                           tuple(seen))
         violation = self._neighbours(figures, now, level, world)
         if violation is not None:
             return violation
--- a/headspar/rollout/limits.py
+++ b/headspar/rollout/limits.py
@@ -62,11 +62,11 @@
             return ""  # it serves no requests, so no capacity is lost
         others = len(self.out - {name})  # a node that may be changing counts against others, not against itself
         if others >= limits.most:
-            return f"{others} nodes are out, the limit is {limits.most}"
+            return f"{others} nodes are out, {limits.most} are allowed"
         site = self._site(node.site)
         out = sum(n.name in self.out for n in site if n.name != name)
         if out >= limits.most_of_site:
-            return f"{out} nodes of {node.site} are out, the limit is {limits.most_of_site}"
+            return f"{out} nodes of {node.site} are out, {limits.most_of_site} are allowed"
         left = len(site) - out - 1
         if left < 1 and not keeps_serving:
             return f"it is the last healthy node of {node.site}"
--- a/headspar/rollout/record.py
+++ b/headspar/rollout/record.py
@@ -1,7 +1,7 @@
-"""The controller's record in SQLite: intent before the action, outcome after it, and the lease with its epoch.
+"""The controller's SQLite store: intents before the actions, outcomes after them, and the lease with its epoch.
 
-WAL and ``synchronous=FULL``: what is acknowledged survives a kill at any byte.  Each write of a controller is made in
-one transaction with a look at the lease: who has lost it writes nothing more.
+WAL mode with ``synchronous=FULL``: a committed write survives a kill at any point.  Each write by a controller checks
+the lease in the same transaction, so a controller that has lost the lease writes nothing more.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
     kind TEXT, reason TEXT, seen BLOB);
 INSERT OR IGNORE INTO lease VALUES (1, '', 0, 0);
 """
-BUSY_S = 5.0
+BUSY_S = 5.0  # how long SQLite waits for another process's lock
 
 
 class RecordError(Exception):
-    """A record that can't be used; the text is one plain line."""
+    """The record cannot be used; the message is one plain line."""
 
 
 class Fenced(RecordError):
@@ -53,11 +53,11 @@
 
 
 class Busy(RecordError):
-    """Another change is under way; the text names it."""
+    """Another change is under way, or the name is taken; the message names it."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """A word that was to be sent."""
+    """A command with its intent and outcome; ``outcome`` is None while it is unanswered.  Times are wall clock."""
 
     number: int
     change: str
@@ -71,8 +71,8 @@
     answered: float | None
 
 
-class Moved(msgspec.Struct, frozen=True):
-    """A transition of a change."""
+class Transition(msgspec.Struct, frozen=True):
+    """A state transition of a change; ``at`` is wall clock."""
 
     at: float
     epoch: int
@@ -83,8 +83,8 @@
     why: str
 
 
-class Looked(msgspec.Struct, frozen=True):
-    """A verdict of the judge's."""
+class Look(msgspec.Struct, frozen=True):
+    """A look of the judge with its verdict; ``at`` is wall clock."""
 
     at: float
     stage: int
@@ -95,7 +95,7 @@
 
 
 class Record:
-    """The record at a path; every method but the readers' is one transaction."""
+    """The record at a path.  Each method that writes is one transaction."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -112,7 +112,7 @@
         self.last_step = int(row[0]) if row else 0
 
     def _file(self) -> tuple[int, int] | None:
-        """Which file lies at the path now; None for none."""
+        """Return device and inode of the file at the path; None if there is none."""
         try:
             found = os.stat(self.path)
         except OSError:
@@ -124,18 +124,22 @@
 
     @contextmanager
     def _write(self, epoch: int | None = None) -> Iterator[sqlite3.Connection]:
-        """A transaction; with an epoch, ``Fenced`` unless that is the lease's.  ``OSError`` where the disk fails, or
-        another file lies at the path by now: who goes on in one that was taken away has a lease that nobody sees."""
+        """Open a write transaction.
+
+        Raises ``Fenced`` if ``epoch`` is given and is not the lease's, and ``OSError`` if the disk fails or the file
+        at the path is a different one by now: a controller that kept writing to a removed file would hold a lease
+        that nobody else sees.
+        """
         if epoch is not None and self._file() != self.file:
-            raise OSError(errno.ESTALE, "the record was taken away or replaced", str(self.path))
+            raise OSError(errno.ESTALE, "the record was removed or replaced", str(self.path))
         try:
             failpoint("record.begin")
             self.db.execute("BEGIN IMMEDIATE")
             try:
                 if epoch is not None:
-                    held = self._lease(self.db)
-                    if held.epoch != epoch:
-                        raise Fenced(f"epoch {epoch} is over, {held.holder} has {held.epoch}")
+                    lease = self._lease(self.db)
+                    if lease.epoch != epoch:
+                        raise Fenced(f"epoch {epoch} is over, {lease.holder} has {lease.epoch}")
                 yield self.db
                 failpoint("record.commit")
                 self.db.execute("COMMIT")
@@ -149,40 +153,42 @@
     # ------------------------------------------------------------ the lease
 
     def acquire(self, holder: str, now: float, seconds: float) -> int | None:
-        """A new epoch, if the lease is free or has run out; None if another has it.  ``now``: wall clock."""
+        """Return a new epoch if the lease is free or expired; None if another holds it.  ``now``: wall clock."""
         with self._write() as db:
             lease = self._lease(db).acquired(holder, now, seconds)
             if lease is not None:
-                self._hold(db, lease)
+                self._store_lease(db, lease)
             return None if lease is None else lease.epoch
 
     def renew(self, epoch: int, now: float, seconds: float) -> None:
-        """``Fenced`` if another has it by now."""
+        """Extend the lease to ``now + seconds``; raises ``Fenced`` if another controller holds it."""
         with self._write(epoch) as db:
-            self._hold(db, self._lease(db).renewed(now, seconds))
+            self._store_lease(db, self._lease(db).renewed(now, seconds))
+
+    def raise_epoch(self, epoch: int, epoch_seen: int, step_seen: int) -> int:
+        """Raise epoch and step number above those that a keeper has seen, and return the new epoch.
 
-    def lift(self, epoch: int, epoch_heard: int, step_heard: int) -> int:
-        """Keepers have heard of later ones than the record holds: the epoch from now on, above theirs; steps go on
-        above theirs as well.  ``Fenced`` if the lease is not ours."""
+        Raises ``Fenced`` if ``epoch`` does not hold the lease.
+        """
         with self._write(epoch) as db:
-            lease = self._lease(db).raised_above(epoch_heard, step_heard > self.last_step)
-            self._hold(db, lease)
-            if step_heard > self.last_step:
+            lease = self._lease(db).raised_above(epoch_seen, step_seen > self.last_step)
+            self._store_lease(db, lease)
+            if step_seen > self.last_step:
                 db.execute("DELETE FROM sqlite_sequence WHERE name = 'step'")
-                db.execute("INSERT INTO sqlite_sequence VALUES ('step', ?)", (step_heard,))
-                self.last_step = step_heard
+                db.execute("INSERT INTO sqlite_sequence VALUES ('step', ?)", (step_seen,))
+                self.last_step = step_seen
         return lease.epoch
 
     def release(self, epoch: int) -> None:
-        """Let the next one take it at once; nothing if another has it."""
+        """Release the lease for the next controller; does nothing if another holds it."""
         try:
             with self._write(epoch) as db:
-                self._hold(db, self._lease(db).released())
+                self._store_lease(db, self._lease(db).released())
         except (Fenced, OSError):
             pass
 
     def holder(self) -> tuple[str, int, float]:
-        """Who has or had the lease, the epoch, and until when."""
+        """Return the current or last holder, its epoch, and when the lease expires (wall clock)."""
         lease = self._lease(self.db)
         return lease.holder, lease.epoch, lease.until
 
@@ -192,41 +198,41 @@
         return Lease(str(holder), int(epoch), float(until))
 
     @staticmethod
-    def _hold(db: sqlite3.Connection, lease: Lease) -> None:
+    def _store_lease(db: sqlite3.Connection, lease: Lease) -> None:
         db.execute("UPDATE lease SET holder = ?, epoch = ?, until = ?", (lease.holder, lease.epoch, lease.until))
 
     # ------------------------------------------------------------ changes
 
     def create(self, change: Change, now: float) -> None:
-        """A new change; ``Busy`` while one is under way."""
+        """Store a new change; raises ``Busy`` if one is under way or the name has been used."""
         with self._write() as db:
             other = self._active(db)
             if other is not None:
                 raise Busy(f"change {other[0]!r} is {other[1]}")
             if db.execute("SELECT 1 FROM change WHERE id = ?", (change.id,)).fetchone():
-                raise Busy(f"there has been a change {change.id!r}")
+                raise Busy(f"there has already been a change {change.id!r}")
             db.execute("INSERT INTO change VALUES (?, ?, ?, ?)",
                        (change.id, now, change.state.value, msgspec.json.encode(change)))
 
     @staticmethod
     def _active(db: sqlite3.Connection) -> Any:
-        over = [state.value for state in OVER]
-        return db.execute("SELECT id, state FROM change WHERE state NOT IN (?, ?) LIMIT 1", over).fetchone()
+        ended = [state.value for state in OVER]
+        return db.execute("SELECT id, state FROM change WHERE state NOT IN (?, ?) LIMIT 1", ended).fetchone()
 
     def latest(self) -> tuple[Change, float] | None:
-        """The change under way, else the one that began last, with the wall clock of its beginning."""
-        over = [state.value for state in OVER]
+        """Return the change under way, else the latest one, with its start (wall clock); None if there is none."""
+        ended = [state.value for state in OVER]
         row = self.db.execute(
-            "SELECT body, began FROM change ORDER BY state NOT IN (?, ?) DESC, began DESC LIMIT 1", over).fetchone()
+            "SELECT body, began FROM change ORDER BY state NOT IN (?, ?) DESC, began DESC LIMIT 1", ended).fetchone()
         return None if row is None else (msgspec.json.decode(row[0], type=Change), float(row[1]))
 
     def changes(self) -> list[tuple[Change, float]]:
-        """All of them, the oldest first."""
+        """Return all changes with their starts (wall clock), oldest first."""
         rows = self.db.execute("SELECT body, began FROM change ORDER BY began").fetchall()
         return [(msgspec.json.decode(body, type=Change), float(began)) for body, began in rows]
 
     def moved(self, epoch: int, change: Change, before: State, cause: Cause, now: float) -> None:
-        """The change has moved; its new state and the transition in one."""
+        """Store a change's new state together with the transition."""
         with self._write(epoch) as db:
             db.execute("UPDATE change SET state = ?, body = ? WHERE id = ?",
                        (change.state.value, msgspec.json.encode(change), change.id))
@@ -234,15 +240,15 @@
                 "INSERT INTO move (change, at, epoch, before, cause, after, stage, why) VALUES (?,?,?,?,?,?,?,?)",
                 (change.id, now, epoch, before.value, cause.value, change.state.value, change.stage, change.why))
 
-    def moves(self, change: str) -> list[Moved]:
+    def moves(self, change: str) -> list[Transition]:
         rows = self.db.execute("SELECT at, epoch, before, cause, after, stage, why FROM move WHERE change = ? "
                                "ORDER BY number", (change,)).fetchall()
-        return [Moved(*row) for row in rows]
+        return [Transition(*row) for row in rows]
 
     # ------------------------------------------------------------ the judge
 
     def keep_before(self, epoch: int, change: str, before: Before, powers: list[Power], now: float) -> None:
-        """The time before a change, and what its stages could show."""
+        """Store the baseline of a change and the power of its stages."""
         with self._write(epoch) as db:
             db.execute("INSERT OR REPLACE INTO before VALUES (?,?,?,?)",
                        (change, now, msgspec.json.encode(before), msgspec.json.encode(powers)))
@@ -262,17 +268,17 @@
                        (change.id, change.stage, look, now, epoch, verdict.kind.value, verdict.reason,
                         msgspec.json.encode(verdict.seen)))
 
-    def looks(self, change: str) -> list[Looked]:
-        """All of a change, the oldest first."""
+    def looks(self, change: str) -> list[Look]:
+        """Return the looks at a change, oldest first."""
         rows = self.db.execute("SELECT at, stage, look, kind, reason, seen FROM look WHERE change = ? "
                                "ORDER BY number", (change,)).fetchall()
-        return [Looked(at, stage, look, kind, reason, msgspec.json.decode(seen, type=list[Comparison]))
+        return [Look(at, stage, look, kind, reason, msgspec.json.decode(seen, type=list[Comparison]))
                 for at, stage, look, kind, reason, seen in rows]
 
     # ------------------------------------------------------------ steps
 
     def intent(self, epoch: int, change: str, command: Command, now: float) -> int:
-        """Before a word is sent: its number."""
+        """Record a command before it is sent, and return its step number."""
         with self._write(epoch) as db:
             cursor = db.execute(
                 "INSERT INTO step (change, node, say, body, epoch, at) VALUES (?,?,?,?,?,?)",
@@ -283,39 +289,40 @@
         return number
 
     def outcome(self, epoch: int, number: int, outcome: str, why: str, now: float) -> None:
-        """After its answer, or once it is known that none matters any more."""
+        """Record the outcome of a step, after its answer or when an answer no longer matters."""
         with self._write(epoch) as db:
             db.execute("UPDATE step SET outcome = ?, why = ?, answered = ? WHERE number = ?",
                        (outcome, why, now, number))
 
     def steps(self, change: str, open_only: bool = False) -> list[Step]:
-        more = "AND outcome IS NULL" if open_only else ""
+        condition = "AND outcome IS NULL" if open_only else ""
         rows = self.db.execute(
             "SELECT number, change, node, say, body, epoch, at, outcome, why, answered FROM step "
-            f"WHERE change = ? {more} ORDER BY number", (change,)).fetchall()
+            f"WHERE change = ? {condition} ORDER BY number", (change,)).fetchall()
         return [
             Step(n, c, node, say, msgspec.json.decode(body, type=Command), epoch, at, outcome, why or "", answered)
             for n, c, node, say, body, epoch, at, outcome, why, answered in rows
         ]
 
-    def told(self, change: str) -> dict[str, float]:
-        """When each node was last told to try, by the wall clock."""
+    def try_times(self, change: str) -> dict[str, float]:
+        """Return when each node was last sent a command to try (wall clock)."""
         rows = self.db.execute("SELECT node, MAX(at) FROM step WHERE change = ? AND say = 'try' GROUP BY node",
                                (change,)).fetchall()
         return {node: float(at) for node, at in rows}
 
-    # ------------------------------------------------------------ people
+    # ------------------------------------------------------------ requests
 
     def request(self, change: str, what: str, by: str, now: float) -> None:
-        """A person wants something of the change; the controller takes it up."""
+        """Store a person's request for the controller."""
         with self._write() as db:
             db.execute("INSERT INTO request (change, what, by, at) VALUES (?,?,?,?)", (change, what, by, now))
 
     def requests(self, change: str) -> list[tuple[int, str, str]]:
-        """What nobody has taken up yet: number, what, by whom."""
+        """Return the open requests as (number, what, by whom)."""
         return [(int(n), str(what), str(by)) for n, what, by in self.db.execute(
             "SELECT number, what, by FROM request WHERE change = ? AND taken IS NULL ORDER BY number", (change,))]
 
-    def took(self, epoch: int, number: int, answer: str) -> None:
+    def close_request(self, epoch: int, number: int, answer: str) -> None:
+        """Close a request with its answer."""
         with self._write(epoch) as db:
             db.execute("UPDATE request SET taken = ? WHERE number = ?", (answer, number))
--- a/headspar/rollout/rehearsal.py
+++ b/headspar/rollout/rehearsal.py
@@ -1,5 +1,6 @@
-"""A change rehearsed in simulated time: the real director, fences and keepers' cores; processes and messages fail as
-drawn.  No I/O; what it shows of limits and ends holds for the decisions, not for the sockets beside them.
+"""Simulates a change with the real director, fences and keeper cores, and random faults of processes and messages.
+
+No I/O.  The results about limits and final states are valid for the decisions, not for the sockets.
 """
 
 from __future__ import annotations
@@ -20,34 +21,47 @@
 from headspar.keeper.slots import deal
 from headspar.rollout.limits import Limits
 from headspar.rollout.stages import Candidate, plan
-from headspar.rollout.state import HOLDING, OVER, Cause, Change, Command, Director, State, Ways, word
+from headspar.rollout.state import (
+    OVER,
+    RESEND_STATES,
+    Cause,
+    Change,
+    Command,
+    Director,
+    RolloutPolicy,
+    State,
+    command_message,
+)
 
 OLD, NEW = "old", "new"
-TICK = 0.25
+TICK = 0.25  # s of simulated time
 
 
 class Faults(msgspec.Struct, frozen=True):
-    """What goes wrong, drawn.  Shares are of messages; rates are for each node and second, or the controller's."""
+    """Random faults.
+
+    Shares are of messages.  Deaths and cuts are rates per second, of each node or of the controller.
+    """
 
     drop: float = 0.0
-    lose: float = 0.0  # the answer
+    lose: float = 0.0  # share of answers lost
     late: float = 0.0
     late_s: float = 20.0
     twice: float = 0.0
     node_deaths: float = 0.0
     keeper_deaths: float = 0.0
-    state_lost: float = 0.0  # share of the keepers' deaths
+    state_lost: float = 0.0  # share of keeper deaths in which its state is lost
     controller_deaths: float = 0.0
-    cuts: float = 0.0  # of a node from the controller
+    cuts: float = 0.0  # network partitions between a node and the controller
     cut_s: float = 20.0
-    until: float = 0.0  # after it nothing goes wrong any more
-    back_at: float = -1.0  # a person takes the change back
-    bad: str = ""  # what is wrong with the new generation: "dies", "no start", "no hand-over"
+    until: float = 0.0  # no faults after this time
+    back_at: float = -1.0  # when a person rolls the change back; -1: never
+    bad: str = ""  # fault of the new generation: "dies", "no start", "no hand-over"
     silence: str = "hold"
 
 
 class Node:
-    """A machine: a keeper's core, its fence, and its processes."""
+    """A machine: a keeper's core, its fence and its processes."""
 
     def __init__(self, world: Rehearsal, name: str, site: str) -> None:
         self.world, self.name, self.site = world, name, site
@@ -57,7 +71,7 @@
         self.core = self._core()
         self.core.resume(Lasting(present=OLD), [], None, None, world.now)
         self.cut_until = -1.0
-        self.ordered = False  # whether it moves because it was told to, or by the change's rule
+        self.ordered = False  # whether it is moving by command or by the change's rule on silence
         self.goal_starts = 0
         self.epochs: list[tuple[int, int]] = []
 
@@ -73,7 +87,7 @@
 
     @property
     def moving(self) -> bool:
-        """Whether it is out of its settled service because of the change."""
+        """Whether the node is out of service because of the change."""
         return self.ordered and self.core.phase not in (Phase.SERVING, Phase.RELOADING)
 
     def do(self, actions: list[Any]) -> None:
@@ -124,11 +138,11 @@
         self.do(self.core.advance(now))
 
     def restart_keeper(self, lost: bool) -> None:
-        """The node goes on; another keeper finds it."""
+        """Replace the keeper; the node's processes keep running and the new keeper adopts them."""
         old = self.core
         lasting = Lasting() if lost else old.lasting
         if lost:
-            self.fence = Fence(self.fence.epoch, self.fence.step)  # it lies in a file of its own
+            self.fence = Fence(self.fence.epoch, self.fence.step)  # the fence is stored in a separate file
             if not old.procs:
                 lasting = Lasting(present=OLD)
         self.core = self._core()
@@ -143,25 +157,25 @@
             order is not None and order.silence == "hold", core.lasting.deaths, core.restarts, self.fence.epoch,
             self.fence.step, core.lasting.outcome, [NEW, OLD], core.serving is not None, 0.0, Figures(), 1, "", "")
 
-    def take(self, said: m.Word) -> tuple[bool, Status]:
-        """A word has come."""
+    def take(self, message: m.Word) -> tuple[bool, Status]:
+        """Handle a command that has arrived; return whether it was accepted, and the status."""
         now, core = self.world.now, self.core
-        weighed = words.weigh(said, self.name, self.fence, core, lambda generation: True, core.serving is None)
-        self.world.refused += weighed.verdict in (Verdict.FENCED, Verdict.OLD)
-        if weighed.counts:
-            if weighed.step:
-                self.epochs.append((said.epoch, weighed.step))
-            if weighed.ok and isinstance(said, m.Try | m.Back):
-                self.ordered |= core.serving is not None  # one that is down takes nothing away
-            self.fence = words.take(said, weighed, self.fence, core, now, lambda fence: True)
+        assessment = words.weigh(message, self.name, self.fence, core, lambda generation: True, core.serving is None)
+        self.world.refused += assessment.verdict in (Verdict.FENCED, Verdict.OLD)
+        if assessment.counts:
+            if assessment.step:
+                self.epochs.append((message.epoch, assessment.step))
+            if assessment.ok and isinstance(message, m.Try | m.Back):
+                self.ordered |= core.serving is not None  # a node that is down takes no capacity away
+            self.fence = words.take(message, assessment, self.fence, core, now, lambda fence: True)
             self.do(core.advance(now))
-        elif weighed.ok:
-            core.heard(said.clock, now)
-        return weighed.ok, self.status()
+        elif assessment.ok:
+            core.heard(message.clock, now)
+        return assessment.ok, self.status()
 
 
 class Rehearsal:
-    """A fleet, a change, and one controller after another."""
+    """A fleet, a change, and a succession of controllers."""
 
     def __init__(self, nodes: int, sites: int, seed: int, faults: Faults, limits: Limits,
                  settings_only: bool = False) -> None:
@@ -172,7 +186,7 @@
         self.serial = self.refused = 0
         self.nodes = {f"n{i}": Node(self, f"n{i}", f"s{i % sites}") for i in range(nodes)}
         self.sites = {n.name: n.site for n in self.nodes.values()}
-        ways = Ways(limits, proving_s=3.0, settle_s=1.0, ready_s=40.0, lost_s=6.0,
+        ways = RolloutPolicy(limits, proving_s=3.0, settle_s=1.0, ready_s=40.0, lost_s=6.0,
                     silence=faults.silence, silence_s=15.0)  # type: ignore[arg-type]
         slots = deal(list(self.nodes), self.sites, limits.most, limits.most_of_site, 20.0, self.rng)
         stages = plan([Candidate(n.name, n.site) for n in self.nodes.values()], [0.2, 1.0])
@@ -180,7 +194,7 @@
         self.stored = msgspec.json.encode(self.change)
         self.epoch, self.steps = 1, 0
         self.open: dict[str, tuple[int, Command]] = {}
-        self.told: dict[str, float] = {}
+        self.try_times: dict[str, float] = {}
         self.director = Director(self.change, self.sites, 0.0)
         self.most_moving = self.most_of_site = self.over = 0
         self.controller_back_at = 0.0
@@ -191,40 +205,40 @@
 
     # ------------------------------------------------------------ messages
 
-    def _word(self, name: str, command: Command | None, step: int) -> None:
-        """Send a word and hear the answer, as links allow; what is late comes with its old epoch."""
+    def _send(self, name: str, command: Command | None, step: int) -> None:
+        """Send a command (None: a poll) subject to the faults; a late one arrives with the epoch of its sending."""
         f, rng, node = self.faults, self.rng, self.nodes[name]
         faulty = self.now < f.until
         if self.now < node.cut_until or faulty and rng.random() < f.drop:
             return
-        said: m.Word = m.Touch(node=name, epoch=self.epoch, clock=self.now)
+        message: m.Word = m.Touch(node=name, epoch=self.epoch, clock=self.now)
         if command is not None:
-            said = word(command, self.epoch, self.now, step)
+            message = command_message(command, self.epoch, self.now, step)
         if faulty and command is not None and rng.random() < f.late:
-            self.later(rng.uniform(0.5, 1.0) * f.late_s, self._arrive, name, said, step, False)
+            self.later(rng.uniform(0.5, 1.0) * f.late_s, self._deliver, name, message, step, False)
             return
         if faulty and command is not None and rng.random() < f.twice:
-            self.later(rng.uniform(0, 1.0) * f.late_s, self._arrive, name, said, step, False)
-        heard = not (faulty and rng.random() < f.lose)
-        self._arrive(name, said, step, heard)
-
-    def _arrive(self, name: str, said: m.Word, step: int, heard: bool) -> None:
-        _, status = self.nodes[name].take(said)
-        if heard and said.epoch == self.epoch:
-            self.director.heard(name, status, self.now)
+            self.later(rng.uniform(0, 1.0) * f.late_s, self._deliver, name, message, step, False)
+        answered = not (faulty and rng.random() < f.lose)
+        self._deliver(name, message, step, answered)
+
+    def _deliver(self, name: str, message: m.Word, step: int, answered: bool) -> None:
+        _, status = self.nodes[name].take(message)
+        if answered and message.epoch == self.epoch:
+            self.director.receive_status(name, status, self.now)
             if step and self.open.get(name, (0, None))[0] == step:
                 del self.open[name]
 
     # ------------------------------------------------------------ the controller
 
     def _replace_controller(self) -> None:
-        """It is killed at this moment; another reads the record some time later."""
+        """Kill the controller now; another one reads the record some time later."""
         self.epoch += 1
         self.change = msgspec.json.decode(self.stored, type=Change)
         self.controller_back_at = self.now + self.rng.uniform(0.5, 8.0)
         self.director = Director(self.change, self.sites, self.controller_back_at)
-        for name, at in self.told.items():
-            self.director.told(name, at)
+        for name, at in self.try_times.items():
+            self.director.record_try(name, at)
 
     def _lead(self) -> None:
         f, director = self.faults, self.director
@@ -233,16 +247,16 @@
         if self.now < self.controller_back_at:
             return
         for name in self.nodes:
-            self._word(name, None, 0)
+            self._send(name, None, 0)
         if self.now < director.began + 2.0:
             return
         if self.change.state is State.PLANNED:
             self._move(Cause.START, "")
         if 0 <= f.back_at <= self.now and self.change.state in (State.STAGE, State.PROVING, State.PAUSED):
-            self._move(Cause.BACK, "told")
+            self._move(Cause.BACK, "by request")
         if self.change.state is State.PAUSED and self.now > f.until:
-            self._move(Cause.RESUME, "told")
-        director.doubtful = set(self.open)
+            self._move(Cause.RESUME, "by request")
+        director.unacknowledged = set(self.open)
         decision = director.decide(self.now)
         for command in decision.commands:
             if command.say == "fetch":
@@ -253,16 +267,16 @@
                 number = self.steps
                 self.open[command.node] = (number, command)
             if command.say == "try":
-                self.told[command.node] = self.now
-                director.told(command.node, self.now)
+                self.try_times[command.node] = self.now
+                director.record_try(command.node, self.now)
             if self.now < f.until and self.rng.random() < f.controller_deaths:
-                self._replace_controller()  # between the intent and the word
+                self._replace_controller()  # between recording the intent and sending the command
                 return
-            self._word(command.node, command, number)
-        asked = {command.node for command in decision.commands}
+            self._send(command.node, command, number)
+        commanded = {command.node for command in decision.commands}
         for name, (number, command) in list(self.open.items()):
-            if name not in asked and self.change.state in HOLDING[command.say]:
-                self._word(name, command, number)
+            if name not in commanded and self.change.state in RESEND_STATES[command.say]:
+                self._send(name, command, number)
         if decision.cause is not None:
             self._move(decision.cause, decision.why)
 
@@ -270,10 +284,10 @@
         self.director.move(cause, why, self.now)
         self.stored = msgspec.json.encode(self.change)
 
-    # ------------------------------------------------------------ the whole
+    # ------------------------------------------------------------ running
 
     def run(self, seconds: float) -> None:
-        """Play it; the limits are looked at in each tick."""
+        """Simulate up to ``seconds``, checking the limits in each tick; ends early once the fleet has settled."""
         end = self.now + seconds
         while self.now < end:
             target = self.now + TICK
@@ -284,11 +298,11 @@
             for node in self.nodes.values():
                 node.tick()
             self._lead()
-            self._look()
+            self._check_limits()
             if self.change.state in (*OVER, State.PERSON) and self.now > self.faults.until + 60 and self.settled():
                 return
 
-    def _look(self) -> None:
+    def _check_limits(self) -> None:
         moving = [n for n in self.nodes.values() if n.moving]
         by_site: dict[str, int] = {}
         for n in moving:
@@ -299,12 +313,12 @@
         self.over += len(moving) > self.limits.most or most > self.limits.most_of_site
 
     def settled(self) -> bool:
-        """Whether every node serves and none is on trial."""
+        """Return whether every node serves its present generation and none is on trial."""
         return all(n.core.course is Course.SETTLED and n.core.running == n.core.lasting.present
                    for n in self.nodes.values())
 
     def running(self) -> dict[str, int]:
-        """How many nodes run which generation."""
+        """Return the number of nodes by running generation."""
         counts: dict[str, int] = {}
         for n in self.nodes.values():
             counts[n.core.running] = counts.get(n.core.running, 0) + 1
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -1,8 +1,8 @@
-"""A change as a whole: its table of states, and what is to be done about each node; without I/O or clock.
+"""A change's state machine, and the decisions about each node.  No I/O, no clock.
 
-What is done follows from what the keepers say, not from what the controller remembers having sent: a controller that
-was killed at any place, and another in its stead, come to the same next step.  The record holds what can't be read
-off the fleet: that there is a change, its stages, its state and its running number of steps.
+Decisions follow from what the keepers report, not from what the controller remembers having sent.  A controller that
+was killed at any point and its successor therefore arrive at the same next step.  The record holds only what cannot
+be read off the fleet: that there is a change, its stages, its state and its step numbers.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
     PAUSE = "pause"
     RESUME = "resume"
     BACK = "back"
-    FAILED = "failed"  # and the change says to go back
+    FAILED = "failed"  # and the change is configured to roll back on failure
     FAILED_PAUSE = "failed, pause"
-    AGAIN = "a trial is lost"  # with a keeper's state, and its node is back on the old generation
+    AGAIN = "a trial is lost"  # a keeper lost its state, and its node is back on the old generation
     ALL_BACK = "all back"
     STUCK = "stuck"
 
@@ -74,16 +74,16 @@
     (S.BACK, C.ALL_BACK): S.TAKEN_BACK,
     (S.BACK, C.STUCK): S.PERSON,
     (S.PERSON, C.BACK): S.BACK,
-    (S.PERSON, C.RESUME): S.CONFIRMING,  # of a change that could not be confirmed
+    (S.PERSON, C.RESUME): S.CONFIRMING,  # only if the change got stuck while confirming
 }
 OVER = (S.DONE, S.TAKEN_BACK)
-# In which states a word that was never answered may be said again.
-HOLDING = {"try": (S.STAGE, S.PROVING), "hold": (S.CONFIRMING,), "confirm": (S.CONFIRMING, S.DONE),
+# States in which a command without an answer may be sent again, by kind of command.
+RESEND_STATES = {"try": (S.STAGE, S.PROVING), "hold": (S.CONFIRMING,), "confirm": (S.CONFIRMING, S.DONE),
            "back": (S.BACK, *OVER)}
 
 
-class Ways(msgspec.Struct, frozen=True):
-    """How a change is carried out.  Seconds."""
+class RolloutPolicy(msgspec.Struct, frozen=True):
+    """How a change is carried out.  Times are in seconds."""
 
     limits: Limits
     proving_s: float = 20.0
@@ -98,48 +98,51 @@
 
 
 class Change(msgspec.Struct):
-    """One change, as it lasts in the record.  ``since``: the change's clock when its state was entered."""
+    """One change, as stored in the record.
+
+    ``since`` is the change's clock (seconds since its start) at which its state was entered.
+    """
 
     id: str
     goal: str
-    path: str  # where keepers find the goal's folder
-    before: str  # the generation that it is to replace
+    path: str  # where keepers find the folder of the goal
+    before: str  # the generation that the goal replaces
     stages: list[list[str]]
     slots: dict[str, Slot]
-    ways: Ways
+    ways: RolloutPolicy
     state: State = State.PLANNED
     stage: int = 0
     since: float = 0.0
     why: str = ""
-    left: list[str] = []  # nodes that were not heard of when it ended
-    confirming: bool = False  # whether it had come to be confirmed, when it needed a person
-    tries_from: float = 0.0  # what nodes were told before was another try of it
-    stage_since: float = 0.0  # the change's clock when the stage began, or was tried again
-    judged: bool = False  # whether it was the judge that stopped it
-    passed: int = -1  # the stage that a person has let pass after the judge had stopped it
+    left: list[str] = []  # nodes that were unreachable when the change ended
+    confirming: bool = False  # whether it was confirming when it came to need a person
+    tries_from: float = 0.0  # commands before this time belong to an earlier attempt at the change
+    stage_since: float = 0.0  # the change's clock when the stage began or was resumed
+    judged: bool = False  # whether the judge stopped it
+    passed: int = -1  # the stage that a person resumed after the judge had stopped it
 
 
-class Seen(msgspec.Struct):
-    """A node's last word, and the change's clock when it came; ``at`` -1: none yet."""
+class Observation(msgspec.Struct):
+    """A node's last status and the change's clock at its arrival; ``at`` is -1 before the first."""
 
     status: Status | None = None
     at: float = -1.0
-    told_at: float = -1.0  # when it was last told to change
+    told_at: float = -1.0  # when it was last sent the command to change; -1: never
 
 
 class Command(msgspec.Struct, frozen=True):
-    """A word to one node."""
+    """A command to one node."""
 
     node: str
     say: Literal["fetch", "try", "hold", "confirm", "back"]
     generation: str = ""
     order: Order | None = None
     reason: str = ""
-    down: bool = False  # only while the node serves nobody
+    down: bool = False  # valid only while the node serves no requests
 
 
-def word(command: Command, epoch: int, clock: float, step: int) -> m.Word:
-    """A command with an effect as the keeper is told it."""
+def command_message(command: Command, epoch: int, clock: float, step: int) -> m.Word:
+    """Return the message to the keeper for a command that has an effect (any but a fetch)."""
     head: dict[str, Any] = {"node": command.node, "epoch": epoch, "clock": clock, "step": step}
     if command.say == "try":
         assert command.order is not None
@@ -152,7 +155,7 @@
 
 
 class Decision(msgspec.Struct):
-    """What is to be done now: words to nodes, then at most one move; and what holds the change up."""
+    """What to do now: commands to nodes, then at most one transition; and what the change waits for."""
 
     commands: list[Command] = []
     cause: Cause | None = None
@@ -162,237 +165,246 @@
 
 
 class Director:
-    """Decides over one change.  ``sites``: of all nodes of the fleet."""
+    """Decides about one change.  ``sites`` maps every node of the fleet to its site."""
 
     def __init__(self, change: Change, sites: Mapping[str, str], began: float) -> None:
         self.change, self.sites = change, sites
-        self.began = began  # the clock when this controller began: silence before it is not held against nodes
-        self.last = began
-        self.seen = {name: Seen() for name in sites}
-        # Nodes to which a word is on its way, or went and was never answered: they may be changing at this moment.
-        self.doubtful: set[str] = set()
-        self.verdict: Verdict | None = None  # the judge's, on the stage under way
+        self.began = began  # clock at which this controller started: silence before it is not held against nodes
+        self.last_decision_at = began
+        self.observations = {name: Observation() for name in sites}
+        # Nodes with a command in flight or without an answer: they may be changing at this moment.
+        self.unacknowledged: set[str] = set()
+        self.verdict: Verdict | None = None  # the judge's verdict on the current stage
 
-    # ------------------------------------------------------------ reading the fleet
+    # ------------------------------------------------------------ state of the fleet
 
-    def heard(self, name: str, status: Status, clock: float) -> None:
-        seen, last = self.seen[name], self.seen[name].status
-        if last is not None and last.keeper == status.keeper and status.serial < last.serial:
-            return  # two answers have overtaken one another: this one is the older
-        seen.status, seen.at = status, clock
+    def receive_status(self, name: str, status: Status, clock: float) -> None:
+        observation, previous = self.observations[name], self.observations[name].status
+        if previous is not None and previous.keeper == status.keeper and status.serial < previous.serial:
+            return  # answers arrived out of order: this one is older
+        observation.status, observation.at = status, clock
 
-    def told(self, name: str, clock: float) -> None:
-        """It was told to change."""
-        self.seen[name].told_at = clock
+    def record_try(self, name: str, clock: float) -> None:
+        """Note that the node was sent the command to change."""
+        self.observations[name].told_at = clock
 
     def age(self, name: str, clock: float) -> float:
-        """Seconds since its last word."""
-        return clock - max(self.seen[name].at, self.began)
+        """Return the seconds since the node's last status, or since this controller started."""
+        return clock - max(self.observations[name].at, self.began)
 
-    def fresh(self, name: str, clock: float) -> Status | None:
-        """Its status, if it was heard of lately."""
-        seen = self.seen[name]
+    def fresh_status(self, name: str, clock: float) -> Status | None:
+        """Return the node's status if it is recent, else None."""
+        observation = self.observations[name]
         short = self.change.ways.lost_s / 3
-        return seen.status if seen.at >= 0 and clock - seen.at <= short else None
+        return observation.status if observation.at >= 0 and clock - observation.at <= short else None
 
-    def _now(self, name: str, clock: float) -> NodeCondition:
-        status = self.fresh(name, clock)
-        if status is None or name in self.doubtful:
+    def _condition(self, name: str, clock: float) -> NodeCondition:
+        status = self.fresh_status(name, clock)
+        if status is None or name in self.unacknowledged:
             return NodeCondition(name, self.sites[name], True, down=False)
-        # On its way it may serve for a moment, between a start that failed and the next.
+        # A node that is changing may serve for a moment between a failed start and the next one.
         moving = status.course in ("trying", "going back") or status.state not in ("serving", "proving", "held")
         f = status.figures
         cold = f.cold / f.servers if f.servers else 0.0
-        # One answer that is late on a busy machine is no proof that it serves nobody, and frees nobody's place.
+        # One late answer on a busy machine does not prove that the node is down, so the node still counts as out.
         down = not status.running or status.silent > m.DOWN_S
         return NodeCondition(name, self.sites[name], moving or down or not status.answers, f.rate, cold, down)
 
-    def room(self, clock: float) -> DisruptionBudget:
-        return DisruptionBudget(self.change.ways.limits, [self._now(name, clock) for name in self.sites])
+    def budget(self, clock: float) -> DisruptionBudget:
+        return DisruptionBudget(self.change.ways.limits, [self._condition(name, clock) for name in self.sites])
 
-    def on_goal(self, status: Status) -> bool:
-        """Whether it has the goal in any way: on trial, present, or running."""
+    def has_goal(self, status: Status) -> bool:
+        """Return whether the node has the goal in any way: on trial, present or running."""
         return self.change.goal in (status.trial, status.present, status.running)
 
-    def _changed(self, name: str) -> bool:
-        """Whether it had the goal when it was last heard of."""
-        status = self.seen[name].status
-        return status is not None and self.on_goal(status)
+    def _had_goal(self, name: str) -> bool:
+        """Return whether the node's last status had the goal."""
+        status = self.observations[name].status
+        return status is not None and self.has_goal(status)
 
-    def _proved(self, status: Status) -> bool:
+    def _is_proven(self, status: Status) -> bool:
         goal = self.change.goal
-        return status.trial == goal and status.proved and status.answers or self._confirmed(status)
+        return status.trial == goal and status.proved and status.answers or self._is_confirmed(status)
 
-    def _confirmed(self, status: Status) -> bool:
-        """It has the goal for good, though it may be down just now."""
+    def _is_confirmed(self, status: Status) -> bool:
+        """Return whether the node has the goal for good; it may be down at the moment."""
         return status.present == self.change.goal and status.course == "settled"
 
-    def _gave_up(self, status: Status) -> bool:
-        """Whether it has left the trial of this change."""
+    def _left_trial(self, status: Status) -> bool:
+        """Return whether the node has left the trial of this change by itself."""
         outcome, change = status.outcome, self.change
         return (outcome is not None and (outcome.change, outcome.generation) == (change.id, change.goal)
                 and outcome.result == "back")
 
     def _lost_trial(self, status: Status) -> bool:
-        """Whether it is settled on the old generation without having given the trial up: its state was lost."""
+        """Return whether the keeper lost its state: it is settled on the old generation, but never left the trial."""
         settled = status.course == "settled" and status.present == self.change.before
-        return settled and not self.on_goal(status) and not self._gave_up(status)
+        return settled and not self.has_goal(status) and not self._left_trial(status)
+
+    def _needs_rollback(self, name: str, status: Status) -> bool:
+        """Return whether the node must be rolled back.
 
-    def _to_go_back(self, name: str, status: Status) -> bool:
-        """Whether it has anything of the goal, is on its way from it, or may still be told to try it by a word that
-        is on the way: one more step makes that word an old one."""
-        on_way = status.course in ("going back", "held") and self._gave_up(status)
-        return self.on_goal(status) or on_way or name in self.doubtful
+        It must if it has the goal, is on its way back, or may still receive a command to try the goal: one more step
+        makes a command in flight an old one, which the keeper refuses.
+        """
+        on_way = status.course in ("going back", "held") and self._left_trial(status)
+        return self.has_goal(status) or on_way or name in self.unacknowledged
 
-    def nodes(self) -> list[str]:
-        """Those that ought to be changed by now."""
+    def target_nodes(self) -> list[str]:
+        """Return the nodes of all stages up to the current one."""
         return [name for stage in self.change.stages[: self.change.stage + 1] for name in stage]
 
     # ------------------------------------------------------------ deciding
 
     def decide(self, clock: float) -> Decision:
-        """What is to be done now."""
+        """Return what to do at ``clock``."""
         state = self.change.state
-        if clock - self.last > self.change.ways.lost_s / 3:
-            self.began = clock  # it was we who stood still: nobody's silence in that time tells anything
-        self.last = clock
+        if clock - self.last_decision_at > self.change.ways.lost_s / 3:
+            self.began = clock  # this controller was paused: silence in that time is not held against nodes
+        self.last_decision_at = clock
         if state is S.STAGE or state is S.PROVING:
-            failure = self._failure(clock)
+            failure = self._failure_reason(clock)
             if failure:
                 back = self.change.ways.on_failure == "back" and not failure.startswith("site ")
                 return Decision(cause=C.FAILED if back else C.FAILED_PAUSE, why=failure)
-            worse = self._judged()
-            if worse is not None:
-                return worse
-            return self._stage(clock) if state is S.STAGE else self._prove(clock)
+            stop = self._judge_decision()
+            if stop is not None:
+                return stop
+            return self._decide_stage(clock) if state is S.STAGE else self._decide_proving(clock)
         if state is S.CONFIRMING:
-            return self._confirm(clock)
+            return self._decide_confirming(clock)
         if state is S.BACK:
-            return self._go_back(clock)
+            return self._roll_back(clock)
         if state in OVER:
-            return self._bring(clock)
+            return self._converge(clock)
         return Decision(waits=self.change.why)
 
     @property
-    def judges(self) -> bool:
-        """Whether the stage under way is judged: a person may have let it pass."""
+    def is_judged(self) -> bool:
+        """Return whether the current stage is judged; it is not if a person resumed it after a verdict."""
         change = self.change
         return change.ways.judge.on and change.passed != change.stage
 
-    def _judged(self) -> Decision | None:
-        """What the judge's verdict stops."""
+    def _judge_decision(self) -> Decision | None:
+        """Return the decision to stop if the judge's verdict demands it, else None."""
         verdict = self.verdict
-        if not self.judges or verdict is None or verdict.kind not in (Kind.BACK, Kind.PAUSE):
+        if not self.is_judged or verdict is None or verdict.kind not in (Kind.BACK, Kind.PAUSE):
             return None
         back = verdict.kind is Kind.BACK and self.change.ways.on_failure == "back"
         return Decision(cause=C.FAILED if back else C.FAILED_PAUSE, why=f"judge: {verdict.reason}", judged=True)
 
-    def _failure(self, clock: float) -> str:
-        """What stops a stage without a judge: a node that does not get ready, ends, restarts, or is not heard of."""
+    def _failure_reason(self, clock: float) -> str:
+        """Return why the stage has failed, apart from the judge; empty if it has not.
+
+        A stage fails if a node does not become ready, dies, leaves the trial, or stops reporting.
+        """
         ways, change = self.change.ways, self.change
         lost = []
-        for name in self.nodes():
-            seen = self.seen[name]
-            status = seen.status
-            if status is not None and seen.at >= self.began:
-                if seen.told_at >= change.tries_from and self._gave_up(status):
+        for name in self.target_nodes():
+            observation = self.observations[name]
+            status = observation.status
+            if status is not None and observation.at >= self.began:
+                if observation.told_at >= change.tries_from and self._left_trial(status):
                     assert status.outcome is not None
-                    return f"{name} went back by itself: {status.outcome.reason}"
+                    return f"{name} rolled back by itself: {status.outcome.reason}"
                 if status.trial == change.goal:
                     if status.deaths > 0:
                         return f"{name} died or did not start, {status.deaths} times"
                     if status.course == "proving" and status.running and status.figures_age > ways.lost_s \
-                            and clock - seen.told_at > ways.lost_s:
-                        return f"{name} gives no figures"
-                    if 0 <= seen.told_at < clock - ways.ready_s - ways.proving_s and not status.proved:
-                        return f"{name} has not got ready in {ways.ready_s:.0f} s"
-            touched = seen.told_at >= 0 or status is not None and self.on_goal(status)
-            if touched and self.age(name, clock) > ways.lost_s:
+                            and clock - observation.told_at > ways.lost_s:
+                        return f"{name} reports no figures"
+                    if 0 <= observation.told_at < clock - ways.ready_s - ways.proving_s and not status.proved:
+                        return f"{name} did not become ready within {ways.ready_s:.0f} s"
+            involved = observation.told_at >= 0 or status is not None and self.has_goal(status)
+            if involved and self.age(name, clock) > ways.lost_s:
                 lost.append(name)
         if not lost:
             return ""
         site = self.sites[lost[0]]
-        others = [n for n, s in self.sites.items() if s == site and not self._changed(n)]
-        gone = [n for n in others if self.age(n, clock) > 0.75 * ways.lost_s]  # last heard a little later, say
+        others = [n for n, s in self.sites.items() if s == site and not self._had_goal(n)]
+        gone = [n for n in others if self.age(n, clock) > 0.75 * ways.lost_s]  # last statuses differ a little in time
         if others and 2 * len(gone) >= len(others):
-            return f"site {site} is not heard of, old nodes and new ones alike"
+            return f"site {site} is unreachable, old and new nodes alike"
         silent = [n for n in others if self.age(n, clock) > ways.lost_s / 3]
         if others and 2 * len(silent) >= len(others):
-            return ""  # they have fallen silent as well, last heard of later still: soon it will be known
-        return f"{lost[0]} is not heard of"
+            return ""  # the others are falling silent too: it will soon be known whether the site has failed
+        return f"{lost[0]} is unreachable"
 
     def _order(self, name: str) -> Order:
         ways = self.change.ways
-        last = sum(site == self.sites[name] for site in self.sites.values()) == 1
-        return Order(self.change.id, self.change.goal, ways.proving_s, ways.restart and not last,
+        is_last = sum(site == self.sites[name] for site in self.sites.values()) == 1
+        return Order(self.change.id, self.change.goal, ways.proving_s, ways.restart and not is_last,
                      ways.silence, ways.silence_s, self.change.slots.get(name),
-                     reload=name not in self.change.stages[0])  # the first one proves that it starts as well
+                     reload=name not in self.change.stages[0])  # the first stage also tests a start
 
-    def _fetches(self, names: list[str], generation: str, clock: float) -> list[Command]:
+    def _fetch_commands(self, names: list[str], generation: str, clock: float) -> list[Command]:
         return [
             Command(name, "fetch", generation) for name in names
-            if (s := self.fresh(name, clock)) is not None and generation not in s.generations and not s.fetching
+            if (s := self.fresh_status(name, clock)) is not None
+            and generation not in s.generations and not s.fetching
         ]
 
-    def _stage(self, clock: float) -> Decision:
+    def _decide_stage(self, clock: float) -> Decision:
         out, change = Decision(), self.change
-        room = self.room(clock)
-        out.commands = self._fetches(list(self.sites), change.goal, clock)
-        open_, waits = 0, ""
-        for name in self.nodes():
-            status = self.fresh(name, clock)
-            if status is not None and self.on_goal(status) and status.running == change.goal:
+        budget = self.budget(clock)
+        out.commands = self._fetch_commands(list(self.sites), change.goal, clock)
+        remaining, waits = 0, ""
+        for name in self.target_nodes():
+            status = self.fresh_status(name, clock)
+            if status is not None and self.has_goal(status) and status.running == change.goal:
                 continue
-            open_ += 1
+            remaining += 1
             if status is None:
-                waits = waits or f"{name} is not heard of"
+                waits = waits or f"{name} is unreachable"
                 continue
             if status.trial == change.goal or change.goal not in status.generations:
-                waits = waits or f"{name} is {status.state if status.trial else 'being given the generation'}"
+                waits = waits or f"{name} is {status.state if status.trial else 'fetching the generation'}"
                 continue
             if status.course == "going back":
                 waits = waits or f"{name} is {status.state}"
                 continue
-            # Where it has a restart to fall back on, it must be able to bear one.
-            refusal = room.refusal(name, keeps_serving=not self._order(name).restart)
+            # If the node may fall back to a restart, the limits must allow for one.
+            refusal = budget.refusal(name, keeps_serving=not self._order(name).restart)
             if refusal:
                 waits = waits or f"{name}: {refusal}"
                 continue
-            room.take(name)
-            out.commands.append(Command(name, "try", change.goal, self._order(name), down=room.nodes[name].down))
+            budget.take(name)
+            out.commands.append(Command(name, "try", change.goal, self._order(name), down=budget.nodes[name].down))
         out.waits = waits
-        if open_ == 0:
+        if remaining == 0:
             out.cause = C.SERVED
         return out
 
-    def _prove(self, clock: float) -> Decision:
+    def _decide_proving(self, clock: float) -> Decision:
         change = self.change
-        for name in self.nodes():
-            status = self.fresh(name, clock)
+        for name in self.target_nodes():
+            status = self.fresh_status(name, clock)
             if status is None:
-                return Decision(waits=f"{name} is not heard of")
+                return Decision(waits=f"{name} is unreachable")
             if self._lost_trial(status):
                 return Decision(cause=C.AGAIN, why=f"{name} has lost its trial")
-            if not self._proved(status):
+            if not self._is_proven(status):
                 return Decision(waits=f"{name} is {status.state}")
         if clock - change.since < change.ways.settle_s:
-            return Decision(waits="the stage settles")
-        if self.judges and (self.verdict is None or self.verdict.kind is not Kind.GO_ON):
+            return Decision(waits="the stage is settling")
+        if self.is_judged and (self.verdict is None or self.verdict.kind is not Kind.GO_ON):
             return Decision(waits=f"judge: {self.verdict.reason if self.verdict is not None else 'no figures yet'}")
-        last = change.stage + 1 >= len(change.stages)
-        return Decision(cause=C.LAST if last else C.NEXT)
+        is_last = change.stage + 1 >= len(change.stages)
+        return Decision(cause=C.LAST if is_last else C.NEXT)
 
-    def _confirm(self, clock: float) -> Decision:
-        """First all hold through any silence, then all are confirmed: a controller that dies between the two leaves
-        no half of the fleet to go back by itself."""
+    def _decide_confirming(self, clock: float) -> Decision:
+        """Make all nodes hold the goal through a controller's silence, then confirm them all.
+
+        Otherwise a controller that dies halfway would leave the unconfirmed part of the fleet to roll back by itself.
+        """
         change, ways = self.change, self.change.ways
         out = Decision()
-        holds, confirms, away = [], [], []
-        for name in self.nodes():
-            status = self.fresh(name, clock)
+        holds, confirms, unreachable = [], [], []
+        for name in self.target_nodes():
+            status = self.fresh_status(name, clock)
             if status is None:
-                away.append(name)
-            elif self._confirmed(status):
+                unreachable.append(name)
+            elif self._is_confirmed(status):
                 continue
             elif self._lost_trial(status):
                 return Decision(cause=C.AGAIN, why=f"{name} has lost its trial")
@@ -405,88 +417,91 @@
                 holds.append(name)
             else:
                 confirms.append(name)
-        late = clock - change.since > ways.ready_s
+        overdue = clock - change.since > ways.ready_s
         if holds:
             out.commands = [Command(name, "hold", change.goal) for name in holds]
             return out
-        if away and not late:
-            out.waits = f"{away[0]} is not heard of"
+        if unreachable and not overdue:
+            out.waits = f"{unreachable[0]} is unreachable"
             return out
-        if out.waits and late:
+        if out.waits and overdue:
             out.cause, out.why = C.STUCK, out.waits
             return out
         out.commands = [Command(name, "confirm", change.goal) for name in confirms]
         if not confirms and not out.waits:
-            change.left = away
-            out.cause, out.why = C.CONFIRMED, f"not heard of: {', '.join(away)}" if away else ""
+            change.left = unreachable
+            out.cause, out.why = C.CONFIRMED, f"unreachable: {', '.join(unreachable)}" if unreachable else ""
         return out
 
-    def _go_back(self, clock: float) -> Decision:
-        """As many at once as the limits allow; those that serve nobody first, and without limit."""
+    def _roll_back(self, clock: float) -> Decision:
+        """Roll back as many nodes at once as the limits allow; nodes that are down come first and are not limited."""
         change, ways = self.change, self.change.ways
-        out, room = Decision(), self.room(clock)
-        todo, away, stuck = [], [], ""
+        out, budget = Decision(), self.budget(clock)
+        pending, unreachable, stuck = [], [], ""
         for name in self.sites:
-            status = self.fresh(name, clock)
+            status = self.fresh_status(name, clock)
             if status is None:
-                away.append(name)
-            elif self._to_go_back(name, status):
-                todo.append((name, status))
-        todo.sort(key=lambda row: not room.nodes[row[0]].down)
-        for name, status in todo:
-            if status.present == change.before and not status.trial and name not in self.doubtful:
+                unreachable.append(name)
+            elif self._needs_rollback(name, status):
+                pending.append((name, status))
+        pending.sort(key=lambda row: not budget.nodes[row[0]].down)
+        for name, status in pending:
+            if status.present == change.before and not status.trial and name not in self.unacknowledged:
                 out.waits = out.waits or f"{name} is {status.state}"
                 if status.state == "held":
                     stuck = stuck or f"{name}: {change.before[:12]} does not start"
                 continue
             if change.before not in status.generations:
-                stuck = stuck or f"{name} has no longer {change.before[:12]}"
+                stuck = stuck or f"{name} no longer has {change.before[:12]}"
                 continue
-            refusal = room.refusal(name, keeps_serving=True, rolling_back=True)
+            refusal = budget.refusal(name, keeps_serving=True, rolling_back=True)
             if refusal:
                 out.waits = out.waits or f"{name}: {refusal}"
                 continue
-            room.take(name)
-            out.commands.append(Command(name, "back", change.before, reason=change.why, down=room.nodes[name].down))
-        if todo and stuck and clock - change.since > ways.ready_s:
+            budget.take(name)
+            out.commands.append(Command(name, "back", change.before, reason=change.why, down=budget.nodes[name].down))
+        if pending and stuck and clock - change.since > ways.ready_s:
             out.cause, out.why = C.STUCK, stuck
-        elif not todo:
-            if not away or clock - change.since > ways.ready_s:
-                change.left = away
-                out.cause, out.why = C.ALL_BACK, f"not heard of: {', '.join(away)}" if away else ""
+        elif not pending:
+            if not unreachable or clock - change.since > ways.ready_s:
+                change.left = unreachable
+                out.cause, out.why = C.ALL_BACK, f"unreachable: {', '.join(unreachable)}" if unreachable else ""
             else:
-                out.waits = out.waits or f"{away[0]} is not heard of"
+                out.waits = out.waits or f"{unreachable[0]} is unreachable"
         return out
 
-    def _bring(self, clock: float) -> Decision:
-        """The change is over: what comes back from where it was not heard of is brought to what holds."""
+    def _converge(self, clock: float) -> Decision:
+        """After the end of the change, bring nodes that become reachable again to the generation that holds."""
         change = self.change
         goal = change.goal if change.state is S.DONE else change.before
         wrong = change.before if change.state is S.DONE else change.goal
-        out, room = Decision(), self.room(clock)
+        out, budget = Decision(), self.budget(clock)
         for name in self.sites:
-            status = self.fresh(name, clock)
+            status = self.fresh_status(name, clock)
             if status is None or status.course == "going back":
                 continue
             if change.state is S.DONE and status.trial == goal:
-                if status.proved:  # it had lost its state, and was told to try once more by a word that came late
+                if status.proved:  # it lost its state, and a late command made it try once more
                     out.commands.append(Command(name, "confirm", goal))
                 continue
-            if wrong not in (status.trial, status.present, status.running) and name not in self.doubtful:
+            if wrong not in (status.trial, status.present, status.running) and name not in self.unacknowledged:
                 continue
             if goal not in status.generations:
-                out.commands += self._fetches([name], goal, clock) if change.state is S.DONE else []
+                out.commands += self._fetch_commands([name], goal, clock) if change.state is S.DONE else []
                 continue
-            if not room.refusal(name, keeps_serving=True, rolling_back=True):
-                room.take(name)
+            if not budget.refusal(name, keeps_serving=True, rolling_back=True):
+                budget.take(name)
                 out.commands.append(
-                    Command(name, "back", goal, reason="the change is over", down=room.nodes[name].down))
+                    Command(name, "back", goal, reason="the change is over", down=budget.nodes[name].down))
         return out
 
-    # ------------------------------------------------------------ moving
+    # ------------------------------------------------------------ transitions
 
     def move(self, cause: Cause, why: str, clock: float, judged: bool = False) -> State:
-        """The state after a cause; ``KeyError`` where the table has none.  ``judged``: the judge is the cause."""
+        """Apply a transition and return the new state; raises ``KeyError`` if the table has none.
+
+        ``judged``: the judge is the cause.
+        """
         change = self.change
         after = TABLE[change.state, cause]
         if change.state is S.PERSON and cause is C.RESUME and not change.confirming:
@@ -499,7 +514,7 @@
         if cause in (C.START, C.RESUME, C.NEXT):
             change.stage_since, self.verdict = clock, None
         if cause is C.RESUME and change.judged:
-            change.passed = change.stage  # a person has looked, and says so
+            change.passed = change.stage  # a person overrides the judge for this stage
         change.judged = judged
         change.state, change.why, change.since = after, why, clock
         return after
--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -259,8 +259,7 @@
 def test_harm_to_neighbours_pauses_where_servers_have_died_there_too() -> None:
     fleet = Fleet(new=2, harm=Harm(neighbours=0.06), world=World(servers_lost={"a": 0.2}))
     verdict, _ = fleet.play()
-    assert verdict.kind is Kind.PAUSE
-    assert "servers or traffic of a have changed, which may be the cause" in verdict.reason
+    assert verdict.kind is Kind.PAUSE and "servers or traffic of a have changed, which may be" in verdict.reason
 
 
 def test_the_plan_says_what_a_stage_shows_by_its_end_not_when_it_first_shows_the_margin() -> None:
@@ -299,7 +298,7 @@
 def test_what_a_stage_could_see_shrinks_with_nodes_and_is_endless_without_a_yardstick() -> None:
     spread = Spread(20.0, 20)
     few, many = (minimum_detectable_harm(spread, 2000, 0.05, n, 3 * n, Limits(), 20, 4) for n in (1, 8))
-    assert few > 2.5 * many > 0
-    assert minimum_detectable_harm(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
+    assert few > 2.5 * many > 0 and \
+        minimum_detectable_harm(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
     assert minimum_detectable_harm(spread, 2000, 0.05, 1, 0, Limits(), 20, 1) == float("inf")
     assert minimum_detectable_harm(spread, 8000, 0.05, 1, 3, Limits(), 20, 4) == pytest.approx(few / 2, rel=0.05)
--- a/tests/rollout/test_for_people.py
+++ b/tests/rollout/test_for_people.py
@@ -125,6 +125,6 @@
     again = run.invoke(app, ["keeper", "pack", str(generation), "--settings", str(tmp_path / "settings.json")])
     assert again.exit_code == 2 and "is there already" in again.stderr
     begun = run.invoke(app, ["rollout", "start", file, str(generation), "--name", "c", "--yes"])
-    assert begun.exit_code == 1 and "no keeper says what runs" in begun.stdout
+    assert begun.exit_code == 1 and "no keeper reports a running generation" in begun.stdout
     for folder in ("/no/such", str(tmp_path)):
         assert run.invoke(app, ["rollout", "plan", file, folder]).exit_code == 2
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -101,7 +101,7 @@
             run.keepers[name].kill()
             await run.node(name).kill_node()
         await until(lambda: state(run) is State.PAUSED)
-        assert change(run).why == f"site {site} is not heard of, old nodes and new ones alike"
+        assert change(run).why == f"site {site} is unreachable, old and new nodes alike"
         for name in dying:
             run.keepers[name].start()
         await until(lambda: _serve(run, dying))
--- a/tests/rollout/test_judging.py
+++ b/tests/rollout/test_judging.py
@@ -17,7 +17,7 @@
 from headspar.rollout.limits import Limits as Out
 from headspar.rollout.record import Fenced, Record
 from headspar.rollout.stages import Candidate, plan
-from headspar.rollout.state import Cause, Change, Director, State, Ways
+from headspar.rollout.state import Cause, Change, Director, RolloutPolicy, State
 
 SITES = {f"n{i}": "ab"[i % 2] for i in range(8)}
 WIDE = tuple(msgspec.structs.replace(f, margin=max(0.12, f.margin)) for f in FIGURES)  # eight nodes tell little
@@ -28,7 +28,7 @@
 
 def change(**more: object) -> Change:
     stages = plan([Candidate(n, s) for n, s in SITES.items()], [0.5, 1.0])
-    return Change("c1", "new", "/new", "old", stages, {}, Ways(Out(), judge=JUDGED), **more)  # type: ignore[arg-type]
+    return Change("c1", "new", "/new", "old", stages, {}, RolloutPolicy(Out(), judge=JUDGED), **more)  # type: ignore[arg-type]
 
 
 class Fleet:
@@ -236,10 +236,10 @@
     d.move(decision.cause, decision.why, 1.0, decision.judged)
     assert d.change.state is State.PAUSED and d.change.judged
     d.move(Cause.RESUME, "", 2.0)
-    assert d.change.passed == 1 and not d.judges and d.verdict is None and d.change.stage_since == 2.0
+    assert d.change.passed == 1 and not d.is_judged and d.verdict is None and d.change.stage_since == 2.0
     d.move(Cause.SERVED, "", 3.0)
     d.move(Cause.NEXT, "", 4.0)
-    assert d.judges and d.change.stage == 2
+    assert d.is_judged and d.change.stage == 2
     d.move(Cause.PAUSE, "", 5.0)
     d.move(Cause.RESUME, "", 6.0)
-    assert d.judges, "what a person paused is judged all the same"
+    assert d.is_judged, "what a person paused is judged all the same"
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -453,7 +453,7 @@
         for name in gone:
             run.links[name].fault = CUT
         await until(lambda: state(run) is State.PAUSED)
-        assert f"site {site} is not heard of" in change(run).why
+        assert f"site {site} is unreachable" in change(run).why
         for name in gone:
             run.links[name].fault = WELL
         await ended(await run.controller("resume", str(run.operator_path)))
@@ -526,7 +526,7 @@
 
     _, run = judged(script, tmp_path, seconds=4.0)
     text = run.controller_log.read_text()
-    assert "not heard of, and only 2 may be out" in text and "nothing done; --yes does it" in text
+    assert "unreachable, and only 2 may be out" in text and "nothing done; --yes does it" in text
     assert set(starts(run, "old").values()) == {1}
 
 
--- a/tests/rollout/test_parts.py
+++ b/tests/rollout/test_parts.py
@@ -22,7 +22,7 @@
 from headspar.rollout.limits import DisruptionBudget, Limits, NodeCondition
 from headspar.rollout.record import Busy, Fenced, Record
 from headspar.rollout.stages import Candidate, plan
-from headspar.rollout.state import TABLE, Cause, Change, Command, Director, State, Ways
+from headspar.rollout.state import TABLE, Cause, Change, Command, Director, RolloutPolicy, State
 from tests.loopback import PATIENCE
 
 SITES = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"}
@@ -54,38 +54,38 @@
 # ---------------------------------------------------------------- limits
 
 
-def room(limits: Limits, **out: NodeCondition) -> DisruptionBudget:
+def budget(limits: Limits, **out: NodeCondition) -> DisruptionBudget:
     nodes = {name: NodeCondition(name, site, False, 10.0) for name, site in SITES.items()}
     return DisruptionBudget(limits, {**nodes, **out}.values())
 
 
 def test_so_many_out_in_all_and_by_site_for_whatever_reason() -> None:
-    r = room(Limits(2, 1), a1=NodeCondition("a1", "a", True))  # one is not heard of
+    r = budget(Limits(2, 1), a1=NodeCondition("a1", "a", True))  # one is not heard of
     assert "1 nodes of a are out" in r.refusal("a2", keeps_serving=False)
     assert r.refusal("b1", keeps_serving=False) == ""
     r.take("b1")
     assert "2 nodes are out" in r.refusal("b2", keeps_serving=True)
     assert r.refusal("b1", keeps_serving=True) == ""  # it is out for this very reason
-    r = room(Limits(1, 1), a1=NodeCondition("a1", "a", True, down=True))
+    r = budget(Limits(1, 1), a1=NodeCondition("a1", "a", True, down=True))
     assert r.refusal("a1", keeps_serving=False) == ""  # nothing is taken away from it
 
 
 def test_the_last_healthy_node_and_a_site_that_could_not_carry_its_load_stay() -> None:
-    r = room(Limits(3, 3), b1=NodeCondition("b1", "b", True))
+    r = budget(Limits(3, 3), b1=NodeCondition("b1", "b", True))
     assert "last healthy node of b" in r.refusal("b2", keeps_serving=False)
     assert r.refusal("b2", keeps_serving=True) == ""  # a second process takes over: it goes on serving
-    r = room(Limits(3, 3, node_rps=18.0, headroom=1.3))
+    r = budget(Limits(3, 3, node_rps=18.0, headroom=1.3))
     assert "2 nodes would carry 30" in r.refusal("a1", keeps_serving=False)
-    assert room(Limits(3, 3, node_rps=20.0, headroom=1.3)).refusal("a1", keeps_serving=False) == ""
+    assert budget(Limits(3, 3, node_rps=20.0, headroom=1.3)).refusal("a1", keeps_serving=False) == ""
 
 
 def test_cold_servers_count_against_starting_nodes_but_not_against_going_back() -> None:
     cold = {name: NodeCondition(name, site, False, 1.0, 0.6) for name, site in SITES.items()}
-    r = room(Limits(2, 1), **cold)
+    r = budget(Limits(2, 1), **cold)
     assert "60% of the servers are cold" in r.refusal("a1", keeps_serving=True)
     assert r.refusal("a1", keeps_serving=True, rolling_back=True) == ""
     one = {**cold, **{n: NodeCondition(n, SITES[n], False, 1.0, 0.0) for n in ("a1", "a2", "b1")}}
-    assert room(Limits(2, 1), **one).refusal("a1", keeps_serving=True) == ""  # what most of them see
+    assert budget(Limits(2, 1), **one).refusal("a1", keeps_serving=True) == ""  # what most of them see
 
 
 # ---------------------------------------------------------------- files
@@ -120,7 +120,7 @@
 
 
 def change(id: str = "c", **more: object) -> Change:
-    ways = Ways(Limits(2, 1), proving_s=3.0, settle_s=1.0, ready_s=30.0, lost_s=6.0)
+    ways = RolloutPolicy(Limits(2, 1), proving_s=3.0, settle_s=1.0, ready_s=30.0, lost_s=6.0)
     values = {"stages": [["a1"], ["b1"], ["a2", "a3", "b2"]], "slots": {}, "ways": ways, **more}
     return Change(id, "new", "/x", "old", **values)  # type: ignore[arg-type]
 
@@ -134,7 +134,8 @@
     assert other.acquire("two", 117.9, 10.0) is None
     assert other.acquire("two", 118.1, 10.0) == 2
     for write in (lambda: record.renew(1, 119.0, 10.0), lambda: record.intent(1, "c", Command("a1", "hold"), 119.0),
-                  lambda: record.moved(1, change(), State.PLANNED, Cause.START, 119.0), lambda: record.lift(1, 9, 9)):
+                  lambda: record.moved(1, change(), State.PLANNED, Cause.START, 119.0),
+                  lambda: record.raise_epoch(1, 9, 9)):
         with pytest.raises(Fenced, match="two has 2"):
             write()
     record.release(1)  # nothing happens to the other's
@@ -154,7 +155,7 @@
         record.create(change("c2"), 2.0)
     first.state = State.DONE
     record.moved(1, first, State.CONFIRMING, Cause.CONFIRMED, 3.0)
-    with pytest.raises(Busy, match="there has been a change 'c1'"):
+    with pytest.raises(Busy, match="there has already been a change 'c1'"):
         record.create(change("c1"), 4.0)
     record.create(change("c2"), 4.0)
     found = record.latest()
@@ -171,9 +172,9 @@
         (tmp_path / f"r.db{end}").unlink(missing_ok=True)
     if put_back:
         assert Record(tmp_path / "r.db").acquire("two", 2.0, 10.0) == 1
-    for act in (lambda: record.renew(1, 3.0, 10.0), lambda: record.lift(1, 9, 9),
+    for act in (lambda: record.renew(1, 3.0, 10.0), lambda: record.raise_epoch(1, 9, 9),
                 lambda: record.intent(1, "c", Command("a1", "hold"), 3.0)):
-        with pytest.raises(OSError, match="taken away or replaced"):
+        with pytest.raises(OSError, match="removed or replaced"):
             act()
     record.release(1)  # which harms nobody
 
@@ -182,7 +183,7 @@
     record = Record(tmp_path / "r.db")
     record.acquire("one", 1.0, 10.0)
     assert record.intent(1, "c", Command("a1", "hold"), 1.0) == 1
-    assert record.lift(1, 7, 40) == 8  # the record was restored from an older copy
+    assert record.raise_epoch(1, 7, 40) == 8  # the record was restored from an older copy
     assert record.intent(8, "c", Command("a1", "hold"), 2.0) == 41
     record.outcome(8, 41, "ok", "", 3.0)
     assert [s.number for s in record.steps("c", open_only=True)] == [1]
@@ -241,8 +242,8 @@
 def director(state: State, stage: int = 0, **statuses: Status) -> Director:
     d = Director(change(state=state, stage=stage), SITES, 0.0)
     for name in SITES:
-        d.heard(name, statuses.get(name, status(name)), 100.0)
-    d.change.since, d.last = 90.0, 100.0
+        d.receive_status(name, statuses.get(name, status(name)), 100.0)
+    d.change.since, d.last_decision_at = 90.0, 100.0
     return d
 
 
@@ -253,7 +254,7 @@
     assert all(c.say == "try" and c.order is not None and c.order.generation == "new" for c in told.commands)
     d = director(State.STAGE, 0, a1=trial("a1", proved=False))
     assert d.decide(100.0).cause is Cause.SERVED
-    d.doubtful = {"a2", "a3"}  # a word to them was never answered: they may be changing
+    d.unacknowledged = {"a2", "a3"}  # a word to them was never answered: they may be changing
     d.change.stage = 1
     assert d.decide(100.0).commands == [] and "2 nodes are out" in d.decide(100.0).waits
 
@@ -261,20 +262,20 @@
 def test_the_next_stage_waits_for_proof_and_for_the_settling() -> None:
     d = director(State.PROVING, 0, a1=trial("a1", proved=False))
     assert d.decide(100.0).cause is None
-    d.heard("a1", trial("a1"), 100.0)
+    d.receive_status("a1", trial("a1"), 100.0)
     assert d.decide(100.0).cause is Cause.NEXT
     d.change.since = 99.5
-    assert d.decide(100.0).cause is None and d.decide(100.0).waits == "the stage settles"
+    assert d.decide(100.0).cause is None and d.decide(100.0).waits == "the stage is settling"
 
 
 @pytest.mark.parametrize(("broken", "why"), [
     (trial("a1", deaths=1), "a1 died or did not start"),
-    (status("a1", outcome=Outcome("c", "new", "back", "settings turned down")), "went back by itself: settings"),
-    (trial("a1", figures_age=50.0), "a1 gives no figures"),
+    (status("a1", outcome=Outcome("c", "new", "back", "settings turned down")), "rolled back by itself: settings"),
+    (trial("a1", figures_age=50.0), "a1 reports no figures"),
 ])
 def test_what_stops_a_stage(broken: Status, why: str) -> None:
     d = director(State.PROVING, 0, a1=broken)
-    d.told("a1", 20.0)
+    d.record_try("a1", 20.0)
     got = d.decide(100.0)
     assert got.cause is Cause.FAILED and why in got.why
     d.change.ways = msgspec.structs.replace(d.change.ways, on_failure="pause")
@@ -285,32 +286,32 @@
     d = director(State.PROVING, 0, a1=trial("a1"))
     for name in SITES:
         if name != "a1":
-            d.heard(name, status(name), 110.0)
-    d.last = 110.0
+            d.receive_status(name, status(name), 110.0)
+    d.last_decision_at = 110.0
     got = d.decide(110.0)
-    assert got.cause is Cause.FAILED and "a1 is not heard of" in got.why
+    assert got.cause is Cause.FAILED and "a1 is unreachable" in got.why
     d = director(State.PROVING, 0, a1=trial("a1"))
     for name in ("b1", "b2"):
-        d.heard(name, status(name), 110.0)
-    d.last = 110.0
+        d.receive_status(name, status(name), 110.0)
+    d.last_decision_at = 110.0
     got = d.decide(110.0)
-    assert got.cause is Cause.FAILED_PAUSE and "site a is not heard of, old nodes and new" in got.why
+    assert got.cause is Cause.FAILED_PAUSE and "site a is unreachable, old and new nodes" in got.why
 
 
 def test_a_site_whose_old_nodes_fell_silent_a_little_later_is_waited_for_and_not_blamed_on_the_change() -> None:
     d = director(State.PROVING, 0, a1=trial("a1"))
     for name, at in (("a1", 100.0), ("a2", 103.0), ("a3", 103.0), ("b1", 106.4), ("b2", 106.4)):
-        d.seen[name].at = at
-    d.last = 106.4
+        d.observations[name].at = at
+    d.last_decision_at = 106.4
     assert d.decide(106.5).cause is None, "a1 for 6.5 s, the others of its place for 3.5: nobody knows yet"
     for name in ("b1", "b2"):
-        d.seen[name].at = 107.7
-    d.last = 107.7
+        d.observations[name].at = 107.7
+    d.last_decision_at = 107.7
     assert d.decide(107.8).cause is Cause.FAILED_PAUSE
     d = director(State.PROVING, 0, a1=trial("a1"))
     for name, at in (("a1", 100.0), ("a2", 106.4), ("a3", 106.4), ("b1", 106.4), ("b2", 106.4)):
-        d.seen[name].at = at
-    d.last = 106.4
+        d.observations[name].at = at
+    d.last_decision_at = 106.4
     assert d.decide(106.5).cause is Cause.FAILED, "the others are heard of"
 
 
@@ -332,19 +333,19 @@
     d = director(State.CONFIRMING, 2, **{n: trial(n, holds=n != "b2") for n in SITES})
     d.change.ways = ways
     assert [(c.node, c.say) for c in d.decide(100.0).commands] == [("b2", "hold")]
-    d.heard("b2", trial("b2"), 100.0)
+    d.receive_status("b2", trial("b2"), 100.0)
     assert {c.say for c in d.decide(100.0).commands} == {"confirm"} and len(d.decide(100.0).commands) == 5
     for name in SITES:
-        d.heard(name, status(name, "new", present="new"), 100.0)
+        d.receive_status(name, status(name, "new", present="new"), 100.0)
     assert d.decide(100.0).cause is Cause.CONFIRMED
 
 
 def test_an_answer_that_another_has_overtaken_is_not_taken_for_the_newer() -> None:
     d = director(State.STAGE, 0)
-    d.heard("a1", trial("a1", proved=False, keeper=1.0, serial=7), 100.1)
-    d.heard("a1", status("a1", keeper=1.0, serial=6), 100.2)  # said before it was told
+    d.receive_status("a1", trial("a1", proved=False, keeper=1.0, serial=7), 100.1)
+    d.receive_status("a1", status("a1", keeper=1.0, serial=6), 100.2)  # said before it was told
     assert d.decide(100.2).cause is Cause.SERVED
-    d.heard("a1", status("a1", keeper=2.0, serial=1), 100.3)  # another keeper
+    d.receive_status("a1", status("a1", keeper=2.0, serial=1), 100.3)  # another keeper
     assert [c.say for c in d.decide(100.3).commands] == ["try"]
 
 
@@ -362,11 +363,11 @@
     assert [c.node for c in d.decide(100.0).commands] == ["a2", "b1"]
     assert all(c.say == "back" and c.generation == "old" for c in d.decide(100.0).commands)
     for name in ("a1", "a2", "a3", "b1"):
-        d.heard(name, status(name), 130.0)
+        d.receive_status(name, status(name), 130.0)
     d.change.since = 95.0
     assert d.decide(130.0).cause is Cause.ALL_BACK and d.change.left == ["b2"]
     d.move(Cause.ALL_BACK, "", 130.0)
-    d.heard("b2", trial("b2"), 131.0)  # it comes back after the end
+    d.receive_status("b2", trial("b2"), 131.0)  # it comes back after the end
     assert [(c.node, c.generation) for c in d.decide(131.0).commands] == [("b2", "old")]
 
 
@@ -385,7 +386,7 @@
 
 def test_a_node_that_may_still_be_told_to_try_is_given_one_more_step() -> None:
     d = director(State.BACK, 0)
-    d.doubtful = {"a1"}
+    d.unacknowledged = {"a1"}
     assert [c.node for c in d.decide(100.0).commands] == ["a1"]
 
 
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -16,12 +16,12 @@
 from headspar.cli import app
 from headspar.keeper import messages as m
 from headspar.rollout.fleet import Member
-from headspar.rollout.host import watched
+from headspar.rollout.host import observe_fleet
 from headspar.rollout.judge.before import Before
 from headspar.rollout.judge.terms import Comparison, Judged, Kind, Limits, Power, Verdict
 from headspar.rollout.record import Record
-from headspar.rollout.report import nearest, page, picture, spans, told
-from headspar.rollout.state import Cause, Change, State, Ways
+from headspar.rollout.report import chart, closest_figures, collect, page, state_periods
+from headspar.rollout.state import Cause, Change, RolloutPolicy, State
 from tests.rollout.test_for_people import rollout_file
 from tests.versions.forms import GENERATION, filled
 
@@ -62,17 +62,17 @@
 
 
 def test_states_are_told_over_time_and_figures_by_how_near_they_came_to_their_margins(tmp_path: Path) -> None:
-    found = told(changed(tmp_path / "record.db"), "c1")
+    found = collect(changed(tmp_path / "record.db"), "c1")
     assert found is not None and found.ended == 1030.0
-    assert spans(found) == [
+    assert state_periods(found) == [
         (1.0, 3.0, State.STAGE, 0), (3.0, 11.0, State.PROVING, 0), (11.0, 20.5, State.STAGE, 1),
         (20.5, 30.0, State.BACK, 1)]
-    assert nearest(found) == ["refused", "late"]
-    assert told(changed(tmp_path / "other.db"), "c2") is None
+    assert closest_figures(found) == ["refused", "late"]
+    assert collect(changed(tmp_path / "other.db"), "c2") is None
 
 
 def test_the_page_says_what_was_seen_and_decided_and_runs_nothing(tmp_path: Path) -> None:
-    found = told(changed(tmp_path / "record.db"), "c1")
+    found = collect(changed(tmp_path / "record.db"), "c1")
     assert found is not None
     text = page(found)
     assert "<script>" not in text and text.count("&lt;script&gt;") == 4  # twice as a move, as its end, as a look
@@ -86,9 +86,9 @@
 def test_a_change_of_which_nothing_is_known_yet_has_a_page_too(tmp_path: Path) -> None:
     record = Record(tmp_path / "record.db")
     record.create(msgspec.structs.replace(filled(Change), id="new"), 5.0)
-    found = told(record, "new")
-    assert found is not None and spans(found) == [] and nearest(found) == []
-    assert picture(found).startswith(b"\x89PNG") and "Nothing was judged" in page(found)
+    found = collect(record, "new")
+    assert found is not None and state_periods(found) == [] and closest_figures(found) == []
+    assert chart(found).startswith(b"\x89PNG") and "Nothing was judged" in page(found)
 
 
 def test_the_command_writes_it_or_says_why_not_in_one_line(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
         for server in servers[: self.silent]:
             server.close()
         try:
-            return await watched(members, change.ways.judge, change)
+            return await observe_fleet(members, change.ways.judge, change)
         finally:
             for server in servers:
                 server.close()
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("silent", [0, 4])
 def test_what_each_stage_could_show_is_told_before_a_change(silent: int) -> None:
     judge = Judged(True, 2.4, 0.1, Limits(most_s=600.0))
-    ways = msgspec.structs.replace(filled(Ways), judge=judge)
+    ways = msgspec.structs.replace(filled(RolloutPolicy), judge=judge)
     change = msgspec.structs.replace(filled(Change), stages=[["a"], ["b", "c"], ["d", "e", "f"]], ways=ways)
     powers, why = asyncio.run(Fleet(silent).watch(change))
     if silent:
