--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge over fleets made by hand: harms of a stated size are seen, and what the world does is not blamed."""
+"""Tests of the judge on synthetic fleets: known harms are detected, and other causes are not blamed on the change."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import settings as quickly
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from headspar.rollout.judge.before import taken
@@ -39,7 +39,7 @@
 
 def test_what_a_node_did_is_the_difference_of_its_readings() -> None:
     i = Intake()
-    assert i.take(reading(100, 1000), 0.0)  # what it did before it was first heard belongs to no time of ours
+    assert i.take(reading(100, 1000), 0.0)  # counts before the first reading cannot be dated
     assert i.take(reading(101, 1040), 1.0) and i.take(reading(102, 1090), 2.0)
     assert i.sums("n0", 0.0, 2.0) == {"spans": 2.0, "taken": 90.0}
     assert i.sums("n0", 1.0, 2.0)["taken"] == 50.0 and i.sums("n0", 0.0, 0.5)["spans"] == 0.0
@@ -66,7 +66,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0, 50), st.integers(0, 200)), max_size=60), st.randoms())
-@quickly(max_examples=200, deadline=None)
+@hypothesis_settings(max_examples=200, deadline=None)
 def test_whatever_comes_in_whatever_order_counts_are_never_below_nothing(rows, rng) -> None:  # type: ignore[no-untyped-def]
     i, now = Intake(), 0.0
     for process, up, count in rows:
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("new", [1, 4])
 def test_a_difference_of_nothing_is_called_one_no_more_often_than_is_said(new: int) -> None:
-    """Nodes of very different size and spread alike; the interval at 0.05 a side leaves 0 out as often as that."""
+    """With nodes of different sizes but the same spread, the interval at 0.05 per side excludes 0 that often."""
     rng, below, draws = random.Random(5), 0, 1500
     for _ in range(draws):
         rows = []
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize(("harm", "reason"), [
     (Harm(refused=0.04), "refused"),
     (Harm(pay_refused=0.06), "pay"),
-    (Harm(late=0.05), "late|served in time"),  # whichever strays less in this draw
+    (Harm(late=0.05), "late|served in time"),  # whichever varies less in this draw
     (Harm(failed=0.03), "failed"),
     (Harm(handshakes=3.0), "handshakes"),
     (Harm(attempts=1.4), "attempts"),
@@ -168,8 +168,8 @@
         new = 2 if harm.neighbours else 3
         verdict, at = Fleet(seed=seed, harm=harm, new=new, shams=3 if new == 3 else 0).play()
         assert verdict.kind is Kind.BACK and at <= 60, (seed, verdict.reason)
-        told = verdict.reason + " ".join(s.figure for s in verdict.seen if s.low > 0 and s.harm >= s.margin)
-        assert any(word in told for word in reason.split("|")), told
+        text = verdict.reason + " ".join(s.figure for s in verdict.seen if s.low > 0 and s.harm >= s.margin)
+        assert any(word in text for word in reason.split("|")), text
 
 
 def _after(since: dict[str, float], node: str, t: float) -> bool:
@@ -177,7 +177,7 @@
 
 
 def test_a_site_of_which_the_changed_nodes_fell_silent_a_moment_before_the_others_is_dead_all_the_same() -> None:
-    """The change was blamed for the site's death in the seconds until the others had been silent for as long."""
+    """The change was blamed for the failure of a site until its other nodes had been silent for as long."""
     for seed in range(4):
         fleet = Fleet(seed=seed, new=6, limits=Limits(lost_s=10.0))
         since = {n: 20.0 if n in fleet.changed else 23.0 for n in fleet.names if fleet.site[n] == "a"}
@@ -219,8 +219,10 @@
 
 
 def test_both_kinds_are_looked_at_in_the_same_seconds() -> None:
-    """A burst for all, half of it in the changed nodes' first seconds, which are not counted: with the others' first
-    seconds counted nine of sixteen such changes were taken back."""
+    """A burst hits all nodes, half of it while the changed nodes are settling, which is not counted.
+
+    When the unchanged nodes' counts of those seconds were used, nine of sixteen such changes were rolled back.
+    """
 
     def back(since: float, until: float) -> int:
         def trouble(site: str, t: float) -> float:
@@ -263,15 +265,17 @@
 
 
 def test_the_plan_says_what_a_stage_shows_by_its_end_not_when_it_first_shows_the_margin() -> None:
-    """It said just under the margin, whatever the stage's length: a harm of that size was seen in all cases, not in
-    eight of ten."""
+    """The plan gave a value just under the margin for any length of stage.
+
+    A harm of that size was detected in all cases rather than in eight of ten.
+    """
     def least(most: float) -> tuple[float, float]:
         fleet, intake = Fleet(nodes=12, sites=1), Intake()
         for at, rows in fleet.before():
             for row in rows:
                 intake.take(row, at)
-        told = powers(taken(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)], Limits(by_class=(), most_s=most))
-        (p,) = (p for p in told if p.figure == "refused")
+        found = powers(taken(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)], Limits(by_class=(), most_s=most))
+        (p,) = (p for p in found if p.figure == "refused")
         assert p.least is not None and p.needs_s is not None
         return p.least, p.needs_s
 
@@ -280,7 +284,7 @@
 
 
 def test_a_stage_that_can_not_be_told_ends_when_its_time_is_over() -> None:
-    """Looks at times that grow by 1.3 passed over the end of the time allowed: 200 s were 245."""
+    """Looks at times that grow by a factor of 1.3 skipped the maximum duration: a stage of 200 s lasted 245 s."""
     for most in (100.0, 200.0):
         margin = tuple(msgspec.structs.replace(f, margin=1e-6) for f in Limits().figures)
         verdict, at = Fleet(limits=Limits(figures=margin, by_class=(), most_s=most)).play()
@@ -292,7 +296,7 @@
     verdict, _ = Fleet(nodes=2, sites=1, new=1, limits=Limits(most_s=120)).play()
     assert verdict.kind in (Kind.PAUSE, Kind.GO_ON) or verdict.more_s > 0
     verdict, _ = Fleet(nodes=1, sites=1, new=1, limits=Limits(most_s=60)).play()
-    assert verdict.kind is Kind.GO_ON and "no unchanged node is left" in verdict.reason  # as every last stage
+    assert verdict.kind is Kind.GO_ON and "no unchanged node is left" in verdict.reason  # as in every last stage
 
 
 def test_what_a_stage_could_see_shrinks_with_nodes_and_is_endless_without_a_yardstick() -> None:
--- a/tests/rollout/judge/world.py
+++ b/tests/rollout/judge/world.py
@@ -1,5 +1,7 @@
-"""Fleets made by hand for the judge: nodes that differ for no reason, seconds that are good and bad for all, and
-versions that do harm of a stated size.  No servers, no requests one by one: counts a second, as nodes would tell."""
+"""Synthetic fleets for the judge: nodes that differ at random, good and bad seconds for all, and harms of known size.
+
+There are no servers and no single requests: the fleet generates counts per second, as nodes would report them.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,7 @@
 
 @dataclass
 class Harm:
-    """What the new version does more of, as shares of requests or factors; ``from_s`` after the stage began."""
+    """The harm of the new version, as shares of requests or factors, from ``from_s`` seconds into the stage."""
 
     refused: float = 0.0
     pay_refused: float = 0.0  # of one class only
@@ -27,17 +29,20 @@
     attempts: float = 1.0
     handshakes: float = 1.0
     leak_mb_min: float = 0.0
-    broken: float = 0.0  # rules a second
-    slower: float = 0.0  # answers later, by that share
-    neighbours: float = 0.0  # late, at the unchanged nodes of the same site
-    site: str = ""  # only there, if one is named
+    broken: float = 0.0  # broken rules per second
+    slower: float = 0.0  # relative increase of the time to answer
+    neighbours: float = 0.0  # share of late answers, at unchanged nodes of the site
+    site: str = ""  # limits the harm to one site
     from_s: float = 0.0
 
 
 @dataclass
 class Fleet:
-    """``load(site, t)``: traffic over the usual, ``trouble(site, t)``: share of answers late for reasons of the
-    world; t in seconds of the stage."""
+    """A synthetic fleet; t is in seconds since the stage began.
+
+    ``load(site, t)`` is the traffic relative to normal, and ``trouble(site, t)`` the share of answers that are late
+    for reasons other than the change.  ``shams`` is the number of placebo nodes, which restart unchanged.
+    """
 
     nodes: int = 12
     sites: int = 3
@@ -62,13 +67,13 @@
         self.size = {n: math.exp(rng.gauss(0, self.skew)) for n in self.names}
         self.own = {n: [abs(rng.gauss(0.02, 0.008)), abs(rng.gauss(0.05, 0.015)), rng.gauss(1.1, 0.03),
                         rng.gauss(0.1, 0.01)] for n in self.names}  # refused, late, attempts, handshakes
-        self.pace = {n: rng.gauss(8.0, 0.4) for n in self.names}  # quarters of an octave that an answer takes
+        self.pace = {n: rng.gauss(8.0, 0.4) for n in self.names}  # time to answer, in quarters of an octave
         order = self.names[:]
         self.changed = frozenset(order[: self.new])
         self.sham = frozenset(order[self.new : self.new + self.shams])
 
     def before(self) -> Iterator[tuple[float, list[Reading]]]:
-        """The seconds before a stage begins, as nodes tell of them."""
+        """Yield the readings of each second before the stage begins."""
         rng = random.Random(f"{self.seed}/run")
         counts: dict[str, dict[str, float]] = {n: {} for n in self.names}
         for second in range(1 - round(BEFORE_S), 1):
@@ -80,7 +85,7 @@
             yield t, rows
 
     def play(self, seconds: float = 700.0) -> tuple[Verdict, float]:
-        """The verdict that ended it, or the last; and when, s of the stage."""
+        """Return the verdict that ended the stage, or the last one, and its time in seconds of the stage."""
         rng, intake = random.Random(f"{self.seed}/run"), Intake()
         counts: dict[str, dict[str, float]] = {n: {} for n in self.names}
         up = {n: 1000.0 + 7 * i for i, n in enumerate(self.names)}
@@ -121,10 +126,10 @@
             return
         mean = self.rps * self.size[n] * self.load(site, t)
         taken = max(0, round(rng.gauss(mean, math.sqrt(mean))))
-        refused0, late0, attempts0, shakes0 = self.own[n]
-        young = math.exp(-up / 5.0) if t >= 0 and up < 60 else 0.0
+        refused0, late0, attempts0, handshakes0 = self.own[n]
+        warming_up = math.exp(-up / 5.0) if t >= 0 and up < 60 else 0.0
         trouble = self.trouble(site, t)
-        late_share = min(0.9, late0 + trouble + 0.1 * young + (harm.late if bad else 0.0)
+        late_share = min(0.9, late0 + trouble + 0.1 * warming_up + (harm.late if bad else 0.0)
                          + (harm.neighbours if near and t >= 0 else 0.0))
         failed_share = 0.003 + (harm.failed if bad else 0.0)
         late = refused = failed = 0.0
@@ -132,25 +137,25 @@
             of = taken * share
             refuse = refused0 + trouble / 2 + (harm.refused if bad else 0.0)
             refuse += harm.pay_refused if bad and name == "pay" else 0.0
-            r, f = _some(rng, of, refuse), _some(rng, of, failed_share)
+            r, f = _random_count(rng, of, refuse), _random_count(rng, of, failed_share)
             for key, value in (("taken", of), ("refused", r), ("failed", f)):
                 c[f"{key}:{name}"] = c.get(f"{key}:{name}", 0.0) + value
             refused, failed = refused + r, failed + f
-        late = _some(rng, taken, late_share)
+        late = _random_count(rng, taken, late_share)
         attempts = taken * rng.gauss(attempts0, 0.05) * (harm.attempts if bad else 1.0)
         served = max(0.0, taken - refused - failed)
-        pace = self.pace[n] + 2.0 * young + 4.0 * trouble + (4.0 * math.log2(1.0 + harm.slower) if bad else 0.0)
+        pace = self.pace[n] + 2.0 * warming_up + 4.0 * trouble + (4.0 * math.log2(1.0 + harm.slower) if bad else 0.0)
         quarters = max(0.0, rng.gauss(served * pace, 2.4 * math.sqrt(served)))
-        shakes = taken * max(0.0, rng.gauss(shakes0, 0.03) + young) * (harm.handshakes if bad else 1.0)
+        handshakes = taken * max(0.0, rng.gauss(handshakes0, 0.03) + warming_up) * (harm.handshakes if bad else 1.0)
         for key, value in (("taken", taken), ("refused", refused), ("failed", failed), ("late", late),
                            ("in_time", max(0.0, taken - refused - failed - late)), ("attempts", max(0.0, attempts)),
-                           ("handshakes", shakes), ("served", served), ("quarters", quarters),
+                           ("handshakes", handshakes), ("served", served), ("quarters", quarters),
                            ("cpu_ms", taken * rng.gauss(2.0, 0.1)),
                            ("broken", harm.broken if bad else 0.0)):
             c[key] = c.get(key, 0.0) + value
 
 
-def _some(rng: random.Random, of: float, share: float) -> float:
-    """About that share of so many, as a count with the spread that counts have."""
+def _random_count(rng: random.Random, of: float, share: float) -> float:
+    """Return a random count of about ``share * of``, with the variance of a Poisson count."""
     mean = of * max(0.0, share)
     return min(of, max(0.0, rng.gauss(mean, math.sqrt(mean))))
--- a/tests/rollout/runs.py
+++ b/tests/rollout/runs.py
@@ -1,4 +1,4 @@
-"""Changes over real processes: what each test of them shares, and what is read off the logs afterwards."""
+"""Shared helpers of the tests that run changes over real processes, and checks on their logs."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from headspar.rollout.state import Change, State
 from headspar.world.scenario import Scenario, parse
 
-STALL_MS = 150.0  # a busy machine's own, beyond the slack
+STALL_MS = 150.0  # additional slack for stalls of a busy machine
 TABLE = """max_out = 2
 max_out_site = 1
 proving_s = 1.0
@@ -37,7 +37,7 @@
 shares = "0.5 1"
 """
 UNJUDGED = "[judge]\non = false\n"
-# Few requests a second: wide margins, short times.  A new process's first handshakes are no harm here.
+# The request rate is low, so margins are wide and times short.  A new process's first handshakes are not a harm.
 JUDGED = """[judge]
 watch_s = 8.0
 first_s = 4.0
@@ -58,7 +58,7 @@
 """
 KEEPER = "start_s = 10.0\ndrain_s = 2.0\nend_s = 6.0\n"
 PATIENCE_S = 60.0
-AT_ONCE = 3
+AT_ONCE = 3  # concurrent runs per machine
 
 
 def scenario(nodes: int, seconds: float = 8.0, rps: float = 60.0) -> Scenario:
@@ -68,7 +68,7 @@
 
 @contextlib.contextmanager
 def a_turn(kind: str = "kept", at_once: int = AT_ONCE) -> Iterator[None]:
-    """At most so many runs of a kind on a machine at a time: each is some thirty processes."""
+    """Limit the concurrent runs of a kind on the machine, as each run has about thirty processes."""
     with contextlib.ExitStack() as stack:
         files = [
             stack.enter_context(open(Path(tempfile.gettempdir()) / f"headspar-{kind}-{os.getuid()}-{i}", "w"))
@@ -86,7 +86,7 @@
 def judged(script: Script, dir: Path, nodes: int = 12, seconds: float = 8.0, table: str = TABLE,
            keeper_table: str = KEEPER, relayed: int = 0, rps: float = 60.0, judge: str = UNJUDGED,
            ) -> tuple[Result, KeptRun]:
-    """A run that the lab can vouch for; on a machine that is busy elsewhere it may take a third one."""
+    """Return a run that the lab considers valid; on a busy machine it may take three attempts."""
     for i in range(3):
         with a_turn():
             result, run = run_kept(scenario(nodes, seconds, rps), 1, dir / str(i), script, table + judge,
@@ -101,13 +101,13 @@
 
 
 def new_line(folder: Path) -> None:
-    """A harmless change of the program."""
+    """Make a harmless change of the program."""
     path = folder / "program" / "headspar" / "reasons.py"
     path.write_text(path.read_text() + "# another version\n")
 
 
 def planted(file: str, before: str, after: str) -> Callable[[Path], None]:
-    """A change of the program in which a piece of text is another."""
+    """Return a change of the program that replaces a piece of its source text."""
     def change(folder: Path) -> None:
         path = folder / "program" / "headspar" / file
         text = path.read_text()
@@ -118,7 +118,7 @@
 
 
 def settings_with(**limits: Any) -> Callable[[Path], None]:
-    """A change of the settings alone."""
+    """Return a change of the settings only."""
     def change(folder: Path) -> None:
         path = folder / "settings.json"
         raw = json.loads(path.read_text())
@@ -129,7 +129,7 @@
 
 
 async def until(what: Callable[[], Any] | Callable[[], Awaitable[Any]], seconds: float = PATIENCE_S) -> Any:
-    """Poll until it is true; its value."""
+    """Poll ``what`` until it is true, and return its value."""
     end = time.monotonic() + seconds
     while True:
         value = what()
@@ -137,7 +137,7 @@
             value = await value
         if value:
             return value
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "timed out"
         await asyncio.sleep(0.03)
 
 
@@ -159,7 +159,7 @@
 
 
 async def status(run: KeptRun, name: str) -> m.Status | None:
-    """What a keeper says, asked past any fault of its link."""
+    """Return a keeper's status over a direct connection, which bypasses the faults of its link."""
     keeper = run.keepers[name]
     try:
         return (await send(Member(name, "", f"{keeper.listen[0]}:{keeper.listen[1]}"), m.Ask())).status
@@ -173,7 +173,7 @@
 
 
 async def settled(run: KeptRun, label: str) -> bool:
-    """Whether all nodes run a generation and are on nothing else."""
+    """Return whether all nodes are settled on a generation."""
     found = await statuses(run)
     goal = run.generations[label]
     return len(found) == len(run.keepers) and all(
@@ -193,13 +193,13 @@
 def state(run: KeptRun) -> State | None:
     try:
         found = record(run).latest()
-    except Exception:  # it is being made
+    except Exception:  # the record is being created
         return None
     return found[0].state if found else None
 
 
 def events(run: KeptRun, event: str, **fields: Any) -> dict[str, list[dict[str, Any]]]:
-    """Events of all keepers with these fields, by node."""
+    """Return the events of all keepers with these fields, by node."""
     return {
         name: [e for e in keeper.events() if e["event"] == event and all(e.get(k) == v for k, v in fields.items())]
         for name, keeper in run.keepers.items()
@@ -207,7 +207,7 @@
 
 
 def starts(run: KeptRun, label: str) -> dict[str, int]:
-    """How many processes of a generation each keeper has started."""
+    """Return how many processes of a generation each keeper has started."""
     found = events(run, "keeper.process_started", generation=run.generations[label])
     return {name: len(rows) for name, rows in found.items()}
 
@@ -217,13 +217,15 @@
 
 
 def unknown_steps(run: KeptRun, name: str) -> list[Step]:
-    """Steps of a change that have no outcome."""
+    """Return the steps of a change that have no outcome."""
     return [s for s in record(run).steps(name) if s.outcome is None]
 
 
 def renumbered(run: KeptRun, name: str) -> list[tuple[int, int]]:
-    """Words that had no answer and were said again under another number: a late one of the two would be a step of its
-    own."""
+    """Return commands that had no answer and were sent again under another number.
+
+    If the first one arrived late, it would count as a step of its own.
+    """
     out = []
     latest: dict[str, Step] = {}
     for step in record(run).steps(name):
@@ -234,8 +236,8 @@
     return out
 
 
-def made_up(run: KeptRun, name: str) -> list[int]:
-    """Steps that the record calls answered with yes, though their keeper never took a word of that number."""
+def false_acknowledgements(run: KeptRun, name: str) -> list[int]:
+    """Return steps that the record has as accepted although the keeper never accepted a command of that number."""
     rows = run.rows()
     taken = {(n, e["step"]) for n, found in rows.items() for e in found
              if e["event"] == "keeper.command" and not e["why"]}
@@ -243,7 +245,7 @@
 
 
 def refused_as_old(run: KeptRun, since: int = 0) -> list[tuple[str, int]]:
-    """Words whose step a keeper called an old one, from that step on."""
+    """Return commands from step ``since`` on that a keeper refused as old."""
     return [(n, e["step"]) for n, found in events(run, "keeper.command", verdict="old").items() for e in found
             if e["step"] >= since]
 
@@ -253,6 +255,6 @@
 
 
 def most_moving(run: KeptRun) -> tuple[int, int]:
-    """The most nodes that were on their way at once, in all and of one site."""
+    """Return the maximum number of nodes that were changing at once, in total and in one site."""
     moments = run.most_on_way()
     return max(n for n, _ in moments), max(n for _, n in moments)
--- a/tests/rollout/test_for_people.py
+++ b/tests/rollout/test_for_people.py
@@ -1,4 +1,4 @@
-"""What people see of keepers and changes: the command line, its exit statuses, the table of events."""
+"""Tests of the command line of keepers and changes, its exit statuses, and the table of events."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_a_controller_that_judges_nothing_loads_no_library_for_it() -> None:
-    """They more than double the time that it takes to follow one that has died."""
+    """Loading them would more than double the time to take over from a controller that has died."""
     code = "import sys, headspar.rollout.cli; print('scipy' in sys.modules, 'numpy' in sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
     assert done.stdout.strip() == "False False", done.stderr
@@ -66,8 +66,8 @@
     file = tmp_path / "keeper.toml"
     file.write_text(text.replace("FOLDER", str(tmp_path / "f")))
     assert keeper_main([str(file)]) == 2
-    said = capfd.readouterr().err
-    assert said.count("\n") == 1 and field in said
+    message = capfd.readouterr().err
+    assert message.count("\n") == 1 and field in message
 
 
 @pytest.mark.parametrize("own", [
@@ -83,20 +83,20 @@
     file = tmp_path / "keeper.toml"
     file.write_text(f'[keeper]\nfolder = "{tmp_path}/f"\nhost = "{tmp_path}/host.json"\nlisten = "127.0.0.1:1"')
     assert keeper_main([str(file)]) == 2
-    said = capfd.readouterr().err
-    assert said.count("\n") == 1 and "host.json" in said
+    message = capfd.readouterr().err
+    assert message.count("\n") == 1 and "host.json" in message
 
 
 def rollout_file(tmp_path: Path, **more: str) -> str:
     fleet = tmp_path / "fleet.toml"
-    fleet.write_text('[[node]]\nname = "a"\nsite = "s"\nkeeper = "127.0.0.1:9"\n')  # where nobody listens
+    fleet.write_text('[[node]]\nname = "a"\nsite = "s"\nkeeper = "127.0.0.1:9"\n')  # nothing listens there
     values = {"record": str(tmp_path / "record.db"), "fleet": str(fleet), **more}
     file = tmp_path / "rollout.toml"
     file.write_text("[rollout]\n" + "\n".join(f'{k} = "{v}"' for k, v in values.items()))
     return str(file)
 
 
-@pytest.mark.parametrize(("more", "arguments", "status", "said"), [
+@pytest.mark.parametrize(("more", "arguments", "status", "message"), [
     ({"record": ""}, ["status"], 2, "rollout.record: not set"),
     ({"fleet": "/no/such"}, ["status"], 2, "/no/such"),
     ({"record": "/no/such/folder/record.db"}, ["status"], 4, "/no/such/folder"),
@@ -106,11 +106,11 @@
     ({}, ["run"], 1, "there is no change"),
 ])
 def test_what_a_change_can_not_begin_with(
-    tmp_path: Path, more: dict[str, str], arguments: list[str], status: int, said: str,
+    tmp_path: Path, more: dict[str, str], arguments: list[str], status: int, message: str,
 ) -> None:
     result = run.invoke(app, ["rollout", arguments[0], rollout_file(tmp_path, **more), *arguments[1:]])
     assert result.exit_code == status
-    assert said in result.stderr and result.stderr.strip().splitlines()[-1].startswith("headspar: ")
+    assert message in result.stderr and result.stderr.strip().splitlines()[-1].startswith("headspar: ")
 
 
 def test_a_fleet_that_does_not_answer_is_shown_and_not_begun_upon(tmp_path: Path) -> None:
--- a/tests/rollout/test_hard_cases.py
+++ b/tests/rollout/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of a change in stages over twelve real nodes: links cut, words late, records and state lost together."""
+"""Hard cases of a change over twelve real nodes: partitions, late commands, loss of the record and of state."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 async def stage_in(run: KeptRun, when: str) -> bool:
-    """Whether the change has come to where a link is to be cut."""
+    """Return whether the change has reached the point at which links are cut."""
     now = state(run)
     if when == "before":
         return now is not None
@@ -52,7 +52,7 @@
 def test_a_third_of_the_keepers_cut_off_one_way_and_both_until_the_middle_of_going_back(
     tmp_path: Path, when: str,
 ) -> None:
-    """Two do not hear the controller, two are not heard by it; the cut ends while the fleet goes back."""
+    """Two links are cut in one direction and two in both; the partition ends while the fleet rolls back."""
     async def script(run: KeptRun) -> None:
         names = sorted(run.links)
         folder = run.generation("new", new_line)
@@ -67,7 +67,7 @@
         for name in names:
             run.links[name].fault = WELL
         await until(lambda: state(run) is State.TAKEN_BACK)
-        # Not said before it is so: all but those that it names run the old generation by then.
+        # The state is reached only once all nodes but those listed as left run the old generation.
         left, found = change(run).left, await statuses(run)
         new = [n for n, s in found.items() if s.running == run.generations["new"] and n not in left]
         assert new == [], (new, left)
@@ -84,14 +84,14 @@
 def test_a_word_that_comes_thirty_seconds_late_after_the_change_was_taken_back_is_refused(tmp_path: Path) -> None:
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
-        for link in run.links.values():  # each first word is held up, and what it says afterwards comes at once
+        for link in run.links.values():  # each first command is delayed, and later ones arrive at once
             link.fault = Fault(late=1.0, late_s=30.0, late_least=1.0, words='"say":"try"')
         led = await start(run, folder, "c1", "--stay")
         await until(lambda: any(link.counts.get("late") for link in run.links.values()))
         held = [name for name, link in run.links.items() if link.counts.get("late")]
         for link in run.links.values():
             link.fault = WELL
-        await until(lambda: any(starts(run, "new").values()))  # told again, as the same step
+        await until(lambda: any(starts(run, "new").values()))  # resent as the same step
         await ended(await run.controller("back", str(run.operator_path), "--yes"))
         await until(lambda: state(run) is State.TAKEN_BACK)
         assert await settled(run, "old")
@@ -123,7 +123,7 @@
         older.db.execute("VACUUM INTO ?", (str(copy),))
         older.close()
         await until(lambda: _changed(run, 3))
-        if lost != "record":  # else it is taken away from under a controller that is well: it must not lead on
+        if lost != "record":  # else a healthy controller loses its file and must stop leading
             led.kill()
             await ended(led)
         for end in ("", "-wal", "-shm"):
@@ -134,7 +134,7 @@
         if lost == "an older record":
             copy.rename(path)
             highest = max(step for _, step in fences.values())
-            assert await ended(await lead(run)) == 0  # it goes on from what the keepers say
+            assert await ended(await lead(run)) == 0  # it continues from the keepers' reports
             assert await settled(run, "new")
             assert max(s.number for s in record(run).steps("c1")) > highest
             assert record(run).holder()[1] > max(epoch for epoch, _ in fences.values())
@@ -146,14 +146,14 @@
                     (keeper.folder / "state").unlink()
                     keeper.start()
             await until(lambda: runs_something(run))
-        assert await ended(await start(run, other, "c2")) == 1  # not settled: it says so
+        assert await ended(await start(run, other, "c2")) == 1  # refused because the fleet is not settled
         assert await ended(await start(run, other, "c2", "--anyway")) == 0
         assert await settled(run, "other")
         found = await statuses(run)
-        # Its numbers begin above all that keepers have heard: one that they know is answered as that one was.
+        # Step numbers start above all that keepers have seen: a known number would get the answer of that step.
         assert min(s.number for s in record(run).steps("c2")) > max(step for _, step in fences.values())
         assert runs.refused_as_old(run) == []
-        # Not the epoch of the one that died, which might have been asleep: what it still sends is refused.
+        # The epoch is above that of the dead controller, which might only have been paused: its messages are refused.
         assert all(s.epoch > fences[name][0] and s.step > fences[name][1] for name, s in found.items())
 
     _, run = judged(script, tmp_path, seconds=12.0)
@@ -187,7 +187,7 @@
 
 
 def test_keeper_and_node_killed_together_in_the_middle_of_a_hand_over(tmp_path: Path) -> None:
-    """At the moment in which the second process says yes: both processes of the node, and its keeper."""
+    """Both processes of the node and its keeper are killed when the second process becomes ready."""
     async def script(run: KeptRun) -> None:
         for keeper in run.keepers.values():
             keeper.kill()
@@ -206,7 +206,7 @@
                 keeper.kill()
             keeper.start()
         end = await ended(led)
-        assert end in (0, 1)  # a death in its proving takes it back
+        assert end in (0, 1)  # a death while proving rolls the change back
         await until(lambda: settled(run, "new" if end == 0 else "old"))
 
     _, run = judged(script, tmp_path)
@@ -216,8 +216,10 @@
 
 
 def test_links_of_nodes_to_discovery_and_servers_fail_while_they_are_changed(tmp_path: Path) -> None:
-    """A third of the nodes: discovery held one way, then both, then reset; servers slow, held and reset in turn.
-    What a link does to a node is no fault of the change, and no request is lost by it."""
+    """For a third of the nodes, discovery stalls one way, then both, then resets; servers are slow, stall or reset.
+
+    The change must not be blamed for the links, and no request may be lost.
+    """
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1")
@@ -229,7 +231,7 @@
             for stream in asked:
                 await stream.become(weather)
             for i, stream in enumerate(servers):
-                if i % 4 == turn:  # one in four of the ways to servers at a time, so that each node has others
+                if i % 4 == turn:  # a quarter of the server links at a time, so that each node has others
                     await stream.become(Weather(delay_s=0.02) if turn % 2 else Weather(hold_down=True))
                 if i % 4 == (turn + 1) % 4:
                     stream.reset()
@@ -269,7 +271,7 @@
 
 
 def test_nodes_that_answer_late_for_a_while_free_nobodys_place(tmp_path: Path) -> None:
-    """All that are still to be changed stand still for two seconds, twice: they do not count as down for it."""
+    """All nodes still to be changed are stopped twice for two seconds, and must not count as down for that."""
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1")
@@ -286,7 +288,7 @@
                     os.kill(pid, signal.SIGCONT)
             await until(lambda: _all_answer(run))
         await ended(led)
-        assert min(in_turns) >= len(names) - 2 > 0  # two at most are on the way
+        assert min(in_turns) >= len(names) - 2 > 0  # at most two are changing
 
     _, run = judged(script, tmp_path, seconds=16.0)
     assert max(of_site for _, of_site in run.most_on_way()) <= 1
@@ -294,7 +296,7 @@
 
 
 async def _stopped(run: KeptRun, name: str) -> int | None:
-    """Let a node's process stand still: its id.  None if the change has it on the way, and it has ended just now."""
+    """Stop a node's process and return its pid; None if it is being changed and has just ended."""
     try:
         pid = int((await run.node(name).who())["pid"])
         run.node(name).marks.append(Mark(now_us(), "node_stop", name))
@@ -302,7 +304,7 @@
     except ProcessLookupError:
         run.node(name).marks.pop()
         return None
-    except OSError:  # its addresses don't answer
+    except OSError:  # its addresses do not answer
         return None
     return pid
 
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -1,4 +1,4 @@
-"""A stage that does worse is taken back, a harmless one goes on: over real nodes, keepers and controllers."""
+"""Tests of the judge over real processes: a worse version is rolled back, and a harmless one proceeds."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
     until,
 )
 
-# One request in four is refused, whatever the module says.
+# Refuses one request in four, regardless of the module.
 REFUSES = planted("node/core.py", "        self.serial += 1\n        r.key = str(self.serial)\n",
                   "        self.serial += 1\n        if self.serial % 4 == 0:\n            self.answer(r, 503)\n"
                   "            return\n        r.key = str(self.serial)\n")
 
-# No connection to a server is used twice.
-SHAKES = planted("connections/plan.py", '        """The attempt on a connection has ended in order',
+# Never reuses a connection to a server.
+NO_REUSE = planted("connections/plan.py", '        """The attempt on a connection has ended in order',
                  '        keep = False\n        """The attempt on a connection has ended in order')
-# The module hears of everything a tenth of a second late.
-DAWDLES = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
+# Delivers every event to the module 100 ms late.
+DELAYS = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
                   "            self.loop.call_later(0.1, self._turn)\n")
 
 
-# What one node of few requests can be told to be within, in some seconds.
+# Margins that a single node with few requests can be shown to keep within seconds.
 WIDE = JUDGED.replace("= 0.15", "= 0.6").replace("= 0.1\n", "= 0.6\n").replace("= 0.3", "= 0.6").replace(
     "= 0.5", "= 0.9").replace("watch_s = 8.0", "watch_s = 12.0")
 
@@ -59,7 +59,7 @@
     assert why.startswith("judge: ") and ("refused" in why or "served in time" in why)
     looks = record(run).looks("c1")
     assert looks[-1].kind == "take back" and [k.look for k in looks] == list(range(1, len(looks) + 1))
-    # Which figure tells first is chance, and a class of few requests may stray far; the planted harm is a quarter.
+    # Which figure is detected first is random, and a class with few requests varies much; the planted harm is 0.25.
     worst = looks[-1].seen[0]
     assert worst.low > 0 and worst.harm >= worst.margin
     whole = [s for s in looks[-1].seen if s.figure == "refused"]
@@ -69,8 +69,8 @@
 
 
 @pytest.mark.parametrize(("harm", "margin", "figure"), [
-    (SHAKES, ("handshakes = 100.0", "handshakes = 3.0"), "handshakes a request"),
-    (DAWDLES, ("time = 3.0", "time = 0.4"), "time to answer"),
+    (NO_REUSE, ("handshakes = 100.0", "handshakes = 3.0"), "handshakes a request"),
+    (DELAYS, ("time = 3.0", "time = 0.4"), "time to answer"),
 ], ids=["no connection used twice", "answers late"])
 def test_a_version_that_harms_otherwise_is_taken_back_from_its_first_stage(
     tmp_path: Path, harm: Callable[[Path], None], margin: tuple[str, str], figure: str,
@@ -88,14 +88,13 @@
 
 
 def test_a_site_that_dies_in_the_middle_is_not_held_against_a_harmless_version(tmp_path: Path) -> None:
-    """All of a site's machines are gone for a while: the change pauses and names the site, and goes on from there
-    once a person says so."""
+    """All machines of a site are down for a while: the change pauses, names the site, and continues when resumed."""
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1")
         await until(lambda: state(run) is State.PROVING and change(run).stage == 1)
         found = await statuses(run)
-        site = found[change(run).stages[0][0]].site  # one of its nodes is a changed one
+        site = found[change(run).stages[0][0]].site  # one of its nodes has changed
         dying = sorted(name for name, s in found.items() if s.site == site)
         for name in dying:
             run.keepers[name].kill()
@@ -129,7 +128,7 @@
         await until(lambda: state(run) is State.PROVING)
         first.send_signal(signal.SIGKILL)
         assert await ended(first) == -signal.SIGKILL
-        # The next one has seen nothing of the time before: it stands in the record.
+        # The next controller has no readings of the baseline and takes it from the record.
         assert await ended(await lead(run), 120.0) == 0
         await until(lambda: settled(run, "new"))
 
--- a/tests/rollout/test_judging.py
+++ b/tests/rollout/test_judging.py
@@ -1,4 +1,4 @@
-"""What joins the judge to a change: the time before, whose figures count from when, what a verdict does."""
+"""Tests of how a change is judged: the baseline, which figures count, and the effect of a verdict."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from headspar.rollout.state import Cause, Change, Director, RolloutPolicy, State
 
 SITES = {f"n{i}": "ab"[i % 2] for i in range(8)}
-WIDE = tuple(msgspec.structs.replace(f, margin=max(0.12, f.margin)) for f in FIGURES)  # eight nodes tell little
+WIDE = tuple(msgspec.structs.replace(f, margin=max(0.12, f.margin)) for f in FIGURES)  # for eight nodes
 BY_CLASS_WIDE = tuple(msgspec.structs.replace(f, margin=0.2) for f in BY_CLASS)
 JUDGED = Judged(on=True, watch_s=40.0, limits=Limits(WIDE, BY_CLASS_WIDE, first_s=20.0, least_s=20.0, most_s=200.0,
                                                      settle_s=5.0))
@@ -28,11 +28,12 @@
 
 def change(**more: object) -> Change:
     stages = plan([Candidate(n, s) for n, s in SITES.items()], [0.5, 1.0])
-    return Change("c1", "new", "/new", "old", stages, {}, RolloutPolicy(Out(), judge=JUDGED), **more)  # type: ignore[arg-type]
+    return Change("c1", "new", "/new", "old", stages, {},
+                  RolloutPolicy(Out(), judge=JUDGED), **more)  # type: ignore[arg-type]
 
 
 class Fleet:
-    """Eight nodes that tell what they have done once a second; ``refused``: a share of what changed ones take."""
+    """Eight nodes that report their work once a second; changed nodes refuse the share ``refused``."""
 
     def __init__(self, judging: Judging, refused: float = 0.0, silent: frozenset[str] = frozenset()) -> None:
         self.judging, self.refused, self.silent = judging, refused, silent
@@ -65,7 +66,7 @@
                                               dict(c), {"servers": 10.0, "cold": 0.0}), self.now)
 
 
-def looked_at() -> tuple[Judging, Fleet]:
+def with_baseline() -> tuple[Judging, Fleet]:
     judging = Judging(JUDGED, SITES, 1000.0, None)
     fleet = Fleet(judging)
     assert "for 40 s" in judging.waits(1000.0)
@@ -78,21 +79,21 @@
 def test_a_change_waits_until_the_fleet_has_been_looked_at_and_says_who_tells_nothing() -> None:
     judging = Judging(JUDGED, SITES, 1000.0, None)
     assert "0 of 8 nodes" in judging.waits(1041.0)
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     assert judging.before is not None and set(judging.before.sites) == set(SITES)
     assert len(judging.before.pieces) == PIECES and judging.before.totals("n0")["taken"] > 1000
 
 
 @pytest.mark.parametrize("harm", [0.0, 0.2])
 def test_nodes_are_held_against_the_time_before_the_change_in_every_stage(harm: float) -> None:
-    """In the third stage too, though nodes changed in the first were other than unchanged ones right before it."""
-    judging, fleet = looked_at()
+    """Also in the third stage, before which the nodes of the first stage already differed from unchanged ones."""
+    judging, fleet = with_baseline()
     c = change(state=State.PROVING, stage=2, stage_since=30.0, since=30.0)
     fleet.refused = harm
     names = [n for stage in c.stages[:3] for n in stage]
     assert 0 < len(names) < len(SITES)
     fleet.change(*c.stages[0])
-    fleet.run(30)  # the clock of the change is 30 now
+    fleet.run(30)  # the change's clock is at 30 s
     fleet.change(*(n for n in names if n not in c.stages[0]))
     verdict, kinds = Verdict(Kind.WAIT, ""), []
     for second in range(120):
@@ -107,7 +108,7 @@
 
 
 def test_what_was_looked_at_while_nodes_were_still_changed_lets_no_stage_go_on() -> None:
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     c = change(state=State.STAGE, stage=0, stage_since=0.0, since=0.0)
     fleet.change(*c.stages[0])
     for second in range(60):
@@ -126,13 +127,13 @@
 
 
 def test_a_changed_node_that_tells_nothing_counts_against_the_change_and_one_not_yet_changed_does_not() -> None:
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     c = change(state=State.STAGE, stage=0, stage_since=0.0)
     fleet.silent = frozenset(c.stages[0])
     fleet.change(*c.stages[0])
     fleet.run(15)
     verdict, _ = judging.look(c, frozenset(), 15.0, fleet.now, 0)
-    assert verdict.kind is Kind.WAIT  # it is down, or was never told: that is for others to say
+    assert verdict.kind is Kind.WAIT  # it is down or has no command yet: other checks cover that
     verdict, _ = judging.look(c, frozenset(c.stages[0]), 15.0, fleet.now, 0)
     assert verdict.kind is Kind.BACK and "have not reported figures" in verdict.reason
 
@@ -140,7 +141,7 @@
 def test_a_controller_that_takes_over_goes_on_from_the_record_and_holds_nobodys_silence_against_it(
     tmp_path: Path,
 ) -> None:
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     assert judging.before is not None
     record = Record(tmp_path / "r.db")
     epoch = record.acquire("one", 0.0, 10.0)
@@ -155,21 +156,21 @@
     assert before == judging.before and record.powers(c.id) == judging.powers(c) and record.before("c2") is None
     assert [(k.look, k.kind) for k in record.looks(c.id)] == [(4, "wait")]
     second = Judging(JUDGED, SITES, 5000.0, before)
-    assert second.waits(5000.0) != "" and second.before is not None  # nothing has still to be looked at
+    assert second.waits(5000.0) != "" and second.before is not None  # the baseline does not have to be taken again
     verdict, _ = second.look(c, frozenset(c.stages[0]), 100.0, 5001.0, 4)
     assert verdict.kind is Kind.WAIT
     other = Fleet(second, refused=0.3)
     other.change(*c.stages[0])
-    for second_ in range(100):
+    for tick in range(100):
         other.run(1)
-        verdict, _ = second.look(c, frozenset(c.stages[0]), 101.0 + second_, other.now, 4)
+        verdict, _ = second.look(c, frozenset(c.stages[0]), 101.0 + tick, other.now, 4)
         if verdict.kind is not Kind.WAIT:
             break
     assert verdict.kind is Kind.BACK and second.judge is not None and second.judge.looks > 4
 
 
 def test_traffic_and_servers_that_have_moved_are_told_by_site() -> None:
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     world = judging.world(frozenset(SITES), fleet.now)
     assert not world.has_changed("a") and not world.has_changed("b")
     fleet.now += 1
@@ -181,7 +182,7 @@
 
 
 def test_what_a_stage_could_show_is_told_and_no_stage_without_unchanged_nodes_is_named() -> None:
-    judging, fleet = looked_at()
+    judging, fleet = with_baseline()
     c = change()
     found = judging.powers(c)
     assert {p.stage for p in found} == set(range(len(c.stages) - 1))
@@ -207,7 +208,7 @@
         assert len(pieces) >= 4 and sum(p["n"]["taken"] for p in pieces) == 240.0
 
 
-# ---------------------------------------------------------------- the table
+# ---------------------------------------------------------------- the state machine
 
 
 def director(**more: object) -> Director:
@@ -242,4 +243,4 @@
     assert d.is_judged and d.change.stage == 2
     d.move(Cause.PAUSE, "", 5.0)
     d.move(Cause.RESUME, "", 6.0)
-    assert d.is_judged, "what a person paused is judged all the same"
+    assert d.is_judged, "a stage that a person paused is still judged"
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -1,4 +1,4 @@
-"""Changes over real nodes, keepers and controllers, with faults between them; the audit judges the four rules."""
+"""Changes over real nodes, keepers and controllers with faults between them; the audit checks the four rules."""
 
 from __future__ import annotations
 
@@ -48,11 +48,11 @@
 )
 
 
-def kept_well(run: KeptRun, name: str = "c1") -> None:
-    """What must hold after any change: nothing twice, nothing open, nobody else's process signalled."""
+def assert_clean(run: KeptRun, name: str = "c1") -> None:
+    """Check what must hold after any change: no step twice, no step open, no foreign process signalled."""
     assert steps_twice(run) == [] and strangers_signalled(run) == []
     assert unknown_steps(run, name) == []
-    assert runs.renumbered(run, name) == [] and runs.made_up(run, name) == []
+    assert runs.renumbered(run, name) == [] and runs.false_acknowledgements(run, name) == []
 
 
 def test_a_change_of_twelve_nodes_loses_nothing_and_keeps_the_limits(tmp_path: Path) -> None:
@@ -61,19 +61,19 @@
         first = await start(run, folder, "c1")
         await until(lambda: state(run) not in (None, State.PLANNED))
         second = await start(run, folder, "c2", "--anyway")
-        assert await ended(second) == 1  # refused by name
+        assert await ended(second) == 1  # refused because c1 is under way
         assert await ended(first) == 0
         assert await settled(run, "new")
 
-    # One of a site at a time, though four in all: three sites, so three.
+    # The limits are one per site and four in total; there are three sites, so three at once.
     result, run = judged(script, tmp_path, seconds=14.0, table=runs.TABLE.replace("max_out = 2", "max_out = 4"))
     assert "'c1' is" in run.controller_log.read_text()
     assert set(starts(run, "new").values()) == {1} and change(run).state is State.DONE
-    kept_well(run)
+    assert_clean(run)
     most, of_site = runs.most_moving(run)
     assert 1 <= most <= 3 and of_site == 1
     assert result.verdict.excused == 0 and result.verdict.served >= 0.99 * result.verdict.taken
-    # No key or body of a request stands in what keepers say.
+    # The keepers' logs must not contain keys or bodies of requests.
     for keeper in run.keepers.values():
         assert "Idempotency" not in keeper.log.read_text()
 
@@ -107,13 +107,12 @@
     _, run = judged(script, tmp_path)
     assert killed.count(-signal.SIGKILL) >= 6, killed
     assert set(starts(run, "new").values()) == {1} and change(run).state is State.DONE
-    kept_well(run)
-    assert record(run).holder()[1] >= 8  # so many epochs
+    assert_clean(run)
+    assert record(run).holder()[1] >= 8  # one epoch per controller
 
 
 def test_one_that_stands_by_and_has_lost_its_lease_leads_again_when_the_next_one_dies(tmp_path: Path) -> None:
-    """Controllers that a busy machine had stopped for longer than their lease ended one after the other, and the
-    change stood still for lack of any."""
+    """Controllers that a busy machine stalled beyond their lease ended one by one, until the change had none left."""
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
         assert await ended(await start(run, folder, "c1", failpoints="rollout.moved=kill")) == -signal.SIGKILL
@@ -133,7 +132,7 @@
 
     _, run = judged(script, tmp_path)
     assert change(run).state is State.DONE and set(starts(run, "new").values()) == {1}
-    kept_well(run)
+    assert_clean(run)
 
 
 def test_a_controller_that_slept_through_its_lease_has_every_word_refused(tmp_path: Path) -> None:
@@ -153,8 +152,8 @@
     fenced = [row for rows in events(run, "keeper.command", verdict="fenced").values() for row in rows]
     taken = [row for rows in events(run, "keeper.command", verdict="new").values() for row in rows]
     assert fenced and all(row["epoch"] == 1 for row in fenced)
-    assert [row["epoch"] for row in taken if row["epoch"] == 1]  # it had led until then
-    kept_well(run)
+    assert [row["epoch"] for row in taken if row["epoch"] == 1]  # it led until then
+    assert_clean(run)
     assert set(starts(run, "new").values()) == {1}
 
 
@@ -178,12 +177,12 @@
         assert await ended(asked) == 0
         await until(lambda: state(run) in (State.BACK, State.TAKEN_BACK))
         await asyncio.sleep(1.0)
-        run.links[names[0]].fault = run.links[names[1]].fault = bad  # the cut ends in the middle of going back
+        run.links[names[0]].fault = run.links[names[1]].fault = bad  # the partition ends during the rollback
         await until(lambda: state(run) is State.TAKEN_BACK)
         await until(lambda: settled(run, "old"))
         for link in run.links.values():
             link.fault = WELL
-        await asyncio.sleep(4.2)  # what was held up has come by now
+        await asyncio.sleep(4.2)  # delayed messages have arrived by now
         assert await settled(run, "old")
         first.terminate()
         await ended(first)
@@ -195,18 +194,18 @@
 
     _, run = judged(script, tmp_path)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
-    assert runs.made_up(run, "c1") == []
+    assert runs.false_acknowledgements(run, "c1") == []
     assert change(run).state is State.TAKEN_BACK
 
 
 DIES = planted("process.py", "        self._sweep()\n        self._tend()\n        if self.keeping",
                "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._tend()\n"
                "        if self.keeping")
-MUTE = planted("process.py", "        await self._listen()\n        node.standstill",
+ACCEPTS_NOTHING = planted("process.py", "        await self._listen()\n        node.standstill",
                "        self.socket.listen(64)\n        node.standstill")
-DEAF_TO_TERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
+IGNORES_SIGTERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
                        "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
-SPEAKS_OTHERWISE = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
+OTHER_HANDOVER_VERSION = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
 NO_START = planted("process.py", "        node.settle()", "        raise OSError(5, 'planted')")
 
 
@@ -214,7 +213,7 @@
     ends = {}
 
     async def script(run: KeptRun) -> None:
-        for name, what in (("no-start", NO_START), ("dies", DIES), ("mute", MUTE),
+        for name, what in (("no-start", NO_START), ("dies", DIES), ("mute", ACCEPTS_NOTHING),
                            ("turned-down", settings_with(try_limit="many"))):
             folder = run.generation(name, what)
             ends[name] = await ended(await start(run, folder, name)), why(run, name)
@@ -227,7 +226,7 @@
     assert "did not start" in ends["no-start"][1] or "failed to start" in ends["no-start"][1]
     assert "died" in ends["dies"][1] and "did not start" in ends["turned-down"][1]
     for name in ends:
-        assert sum(count > 0 for count in starts(run, name).values()) <= 1  # one node met it
+        assert sum(count > 0 for count in starts(run, name).values()) <= 1  # at most one node started it
     assert strangers_signalled(run) == [] and steps_twice(run) == []
 
 
@@ -236,7 +235,7 @@
 
     async def script(run: KeptRun) -> None:
         run.generation("turned-down", settings_with(try_limit="many"))
-        folder = run.generation("deaf", DEAF_TO_TERM)
+        folder = run.generation("deaf", IGNORES_SIGTERM)
         led = await start(run, folder, "deaf")
         await until(lambda: state(run) is State.PROVING)
         await ended(await run.controller("back", str(run.operator_path), "--yes"))
@@ -244,12 +243,12 @@
         await until(lambda: settled(run, "old"))
         folder = run.generation("limits", settings_with(try_limit=4))
         ends["limits"] = await ended(await start(run, folder, "limits"))
-        first = change(run).stages[0][0]  # it proves that a process starts with them
-        for name in run.nodes:  # and the others take them by signal alone
+        first = change(run).stages[0][0]  # it tests that a process starts with them
+        for name in run.nodes:  # and the others reload them on a signal
             started = run.generations["limits" if name == first else "old"]
             assert (await run.node(name).who())["generation"] == started
         assert await settled(run, "limits")
-        # Settings that a running node turns down, told by somebody with an epoch that no record knows of.
+        # Settings that a running node rejects, sent under an epoch that the record does not know.
         member = Member("n1", "", ":".join(map(str, run.keepers["n1"].listen)))
         await send(member, m.Fetch(node="n1", epoch=90, generation=run.generations["turned-down"],
                                    path=str(run.dir / "sources" / "turned-down")), 30.0)
@@ -258,25 +257,25 @@
         await until(lambda: _turned_down(run))
         assert await settled(run, "limits")
         folder = run.generation("after", new_line)
-        ends["after"] = await ended(await start(run, folder, "after"))  # its epoch and steps go above those
+        ends["after"] = await ended(await start(run, folder, "after"))  # its epoch and steps are raised above those
         assert record(run).holder()[1] > 90 and await settled(run, "after")
 
     _, run = judged(script, tmp_path)
     assert ends == {"deaf": 1, "limits": 0, "after": 0}
     killed = [row for rows in events(run, "keeper.signalled", signal="SIGKILL").values() for row in rows]
-    assert killed  # the one that is deaf to SIGTERM
+    assert killed  # the process that ignores SIGTERM
     assert strangers_signalled(run) == [] and steps_twice(run) == []
 
 
 def test_where_the_hand_over_can_not_be_had_nodes_are_drained_and_started(tmp_path: Path) -> None:
     async def script(run: KeptRun) -> None:
-        folder = run.generation("new", SPEAKS_OTHERWISE)
+        folder = run.generation("new", OTHER_HANDOVER_VERSION)
         assert await ended(await start(run, folder, "c1")) == 0
         assert await settled(run, "new")
 
     result, run = judged(script, tmp_path, seconds=16.0)
-    kept_well(run)
-    # One is alone in its site or not, by the draw of sites; each that has a neighbour was drained.
+    assert_clean(run)
+    # Whether a node is alone in its site depends on the draw; each one that is not was drained.
     drained = [rows for rows in events(run, "keeper.moved", table="phase", after="draining").values() if rows]
     assert len(drained) == 12 and result.verdict.excused == 0
     assert runs.most_moving(run)[1] == 1
@@ -299,7 +298,7 @@
 
 
 @pytest.mark.parametrize(("what", "points"), [
-    (new_line, KEEPER_POINTS), (settings_with(try_limit=4), SETTINGS_POINTS), (SPEAKS_OTHERWISE, DRAIN_POINTS),
+    (new_line, KEEPER_POINTS), (settings_with(try_limit=4), SETTINGS_POINTS), (OTHER_HANDOVER_VERSION, DRAIN_POINTS),
 ], ids=["program", "settings", "drained"])
 def test_keepers_killed_at_each_of_their_steps_find_their_nodes_again(
     tmp_path: Path, what: Callable[[Path], None], points: list[str],
@@ -322,12 +321,12 @@
 
         restarting = asyncio.create_task(restart())
         await until(lambda: _running(run, "old"))
-        for name in names:  # a keeper that was killed never touched its node
+        for name in names:  # killing the keeper does not affect its node
             assert (await run.node(name).who())["pid"] == pids[name]
         folder = run.generation("new", what)
         end = await ended(await start(run, folder, "c1"))
         restarting.cancel()
-        if end != 0:  # one that was killed too often counts as failed: the fleet is on the old one then
+        if end != 0:  # a keeper killed too often makes the change fail: the fleet is on the old generation
             assert end == 1
         await until(lambda: settled(run, "new" if end == 0 else "old"))
         assert len(died) >= 5, died
@@ -361,7 +360,7 @@
         paths[2].unlink()
         paths[3].write_bytes(old[names[3]])  # from before the change
         saved = decode(paths[4].read_bytes())
-        # The pid that it remembers is another process's by now.
+        # The saved pid now belongs to another process.
         saved.processes = [msgspec.structs.replace(saved.processes[0], pid=stranger.pid)]
         paths[4].write_bytes(encode(saved))
         os.kill(pids[names[5]], signal.SIGKILL)  # keeper and node together
@@ -372,10 +371,10 @@
         for name in names[:5]:
             assert (await run.node(name).who())["pid"] == pids[name], name
         found = await statuses(run)
-        assert all(s.epoch >= fences[name] for name, s in found.items())  # who was fenced off stays so
-        assert found[names[3]].trial == run.generations["new"]  # what its old state does not know is on trial
+        assert all(s.epoch >= fences[name] for name, s in found.items())  # a fenced controller stays fenced
+        assert found[names[3]].trial == run.generations["new"]  # unknown to the old state, so on trial
         assert stranger.poll() is None and start_ticks(stranger.pid) > 0
-        # All of it lost on one machine, and its generations: it learns from its node what it holds.
+        # One machine loses all keeper state and its generations: the keeper learns them from its node.
         keeper = run.keepers[names[0]]
         keeper.kill()
         for lost in ("state", "fence"):
@@ -407,10 +406,10 @@
     async def script(run: KeptRun) -> None:
         names = sorted(run.keepers)
         folder = run.generation("new", new_line)
-        # The record's: the controller ends and says so; nothing has been begun that it does not know.
+        # Disk of the record: the controller ends with an error, and no unrecorded step has been started.
         first = await start(run, folder, "c1", failpoints="record.begin=ENOSPC@5+")
         assert await ended(first) == 4
-        # A keeper's: it takes no command, and its node is started again all the same when it dies.
+        # Disk of a keeper: it accepts no command, but still restarts its node when that dies.
         names = [name for name in names if name not in change(run).stages[0]]
         keeper = run.keepers[names[0]]
         keeper.kill()
@@ -463,12 +462,14 @@
         await ended(led)
 
     _, run = judged(script, tmp_path, seconds=12.0)
-    kept_well(run)
+    assert_clean(run)
 
 
 def test_machines_of_a_site_that_die_and_keepers_killed_while_going_back(tmp_path: Path) -> None:
-    """Keepers and nodes of one site are killed together in a stage; the fleet goes back, and three keepers are killed
-    while they do: no step twice, and the site's machines come back to what holds."""
+    """Keepers and nodes of one site are killed together in a stage, and three other keepers during the rollback.
+
+    No step may be taken twice, and the site's machines must end up on the old generation.
+    """
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1", "--stay")
@@ -516,7 +517,7 @@
         folder = run.generation("new", new_line)
         assert await ended(await start(run, folder, "c1")) == 1
         assert state(run) is None
-        # Without --yes nothing is done either.
+        # Without --yes nothing is done.
         for link in run.links.values():
             link.fault = WELL
         dry = await run.controller("start", str(run.operator_path), str(folder), "--name", "c1")
--- a/tests/rollout/test_parts.py
+++ b/tests/rollout/test_parts.py
@@ -1,4 +1,4 @@
-"""Stages, limits, the fleet file, the record with its lease, and the director's table."""
+"""Tests of stages, limits, the fleet file, the record with its lease, and the director's state machine."""
 
 from __future__ import annotations
 
@@ -60,20 +60,20 @@
 
 
 def test_so_many_out_in_all_and_by_site_for_whatever_reason() -> None:
-    r = budget(Limits(2, 1), a1=NodeCondition("a1", "a", True))  # one is not heard of
+    r = budget(Limits(2, 1), a1=NodeCondition("a1", "a", True))  # one is unreachable
     assert "1 nodes of a are out" in r.refusal("a2", keeps_serving=False)
     assert r.refusal("b1", keeps_serving=False) == ""
     r.take("b1")
     assert "2 nodes are out" in r.refusal("b2", keeps_serving=True)
-    assert r.refusal("b1", keeps_serving=True) == ""  # it is out for this very reason
+    assert r.refusal("b1", keeps_serving=True) == ""  # it is out because of this change itself
     r = budget(Limits(1, 1), a1=NodeCondition("a1", "a", True, down=True))
-    assert r.refusal("a1", keeps_serving=False) == ""  # nothing is taken away from it
+    assert r.refusal("a1", keeps_serving=False) == ""  # it serves no requests, so no capacity is lost
 
 
 def test_the_last_healthy_node_and_a_site_that_could_not_carry_its_load_stay() -> None:
     r = budget(Limits(3, 3), b1=NodeCondition("b1", "b", True))
     assert "last healthy node of b" in r.refusal("b2", keeps_serving=False)
-    assert r.refusal("b2", keeps_serving=True) == ""  # a second process takes over: it goes on serving
+    assert r.refusal("b2", keeps_serving=True) == ""  # a second process takes over, so it keeps serving
     r = budget(Limits(3, 3, node_rps=18.0, headroom=1.3))
     assert "2 nodes would carry 30" in r.refusal("a1", keeps_serving=False)
     assert budget(Limits(3, 3, node_rps=20.0, headroom=1.3)).refusal("a1", keeps_serving=False) == ""
@@ -85,7 +85,7 @@
     assert "60% of the servers are cold" in r.refusal("a1", keeps_serving=True)
     assert r.refusal("a1", keeps_serving=True, rolling_back=True) == ""
     one = {**cold, **{n: NodeCondition(n, SITES[n], False, 1.0, 0.0) for n in ("a1", "a2", "b1")}}
-    assert budget(Limits(2, 1), **one).refusal("a1", keeps_serving=True) == ""  # what most of them see
+    assert budget(Limits(2, 1), **one).refusal("a1", keeps_serving=True) == ""  # the median node counts
 
 
 # ---------------------------------------------------------------- files
@@ -138,7 +138,7 @@
                   lambda: record.raise_epoch(1, 9, 9)):
         with pytest.raises(Fenced, match="two has 2"):
             write()
-    record.release(1)  # nothing happens to the other's
+    record.release(1)  # does not release the other's lease
     assert other.holder() == ("two", 2, 128.1)
     other.release(2)
     assert record.acquire("one", 119.0, 10.0) == 3
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("put_back", [False, True])
 def test_nobody_leads_on_in_a_record_that_was_taken_away(put_back: bool, tmp_path: Path) -> None:
-    """SQLite goes on in a file that has no name any more: its lease was renewed for ever beside that of the next."""
+    """SQLite keeps writing to an unlinked file, where a lease was renewed forever beside the next controller's."""
     record = Record(tmp_path / "r.db")
     assert record.acquire("one", 1.0, 10.0) == 1
     for end in ("", "-wal", "-shm"):
@@ -176,7 +176,7 @@
                 lambda: record.intent(1, "c", Command("a1", "hold"), 3.0)):
         with pytest.raises(OSError, match="removed or replaced"):
             act()
-    record.release(1)  # which harms nobody
+    record.release(1)  # has no effect
 
 
 def test_steps_go_on_above_what_keepers_have_heard_of(tmp_path: Path) -> None:
@@ -249,12 +249,12 @@
 
 def test_a_stage_is_told_within_the_limits_and_over_once_all_of_it_serve() -> None:
     d = director(State.STAGE, 2, a1=trial("a1"), b1=trial("b1"))
-    told = d.decide(100.0)
-    assert [c.node for c in told.commands] == ["a2", "b2"] and "1 nodes of a are out" in told.waits
-    assert all(c.say == "try" and c.order is not None and c.order.generation == "new" for c in told.commands)
+    decision = d.decide(100.0)
+    assert [c.node for c in decision.commands] == ["a2", "b2"] and "1 nodes of a are out" in decision.waits
+    assert all(c.say == "try" and c.order is not None and c.order.generation == "new" for c in decision.commands)
     d = director(State.STAGE, 0, a1=trial("a1", proved=False))
     assert d.decide(100.0).cause is Cause.SERVED
-    d.unacknowledged = {"a2", "a3"}  # a word to them was never answered: they may be changing
+    d.unacknowledged = {"a2", "a3"}  # a command to them has no answer: they may be changing
     d.change.stage = 1
     assert d.decide(100.0).commands == [] and "2 nodes are out" in d.decide(100.0).waits
 
@@ -303,7 +303,7 @@
     for name, at in (("a1", 100.0), ("a2", 103.0), ("a3", 103.0), ("b1", 106.4), ("b2", 106.4)):
         d.observations[name].at = at
     d.last_decision_at = 106.4
-    assert d.decide(106.5).cause is None, "a1 for 6.5 s, the others of its place for 3.5: nobody knows yet"
+    assert d.decide(106.5).cause is None, "a1 is silent for 6.5 s, its site for 3.5 s: the cause is not known yet"
     for name in ("b1", "b2"):
         d.observations[name].at = 107.7
     d.last_decision_at = 107.7
@@ -312,15 +312,15 @@
     for name, at in (("a1", 100.0), ("a2", 106.4), ("a3", 106.4), ("b1", 106.4), ("b2", 106.4)):
         d.observations[name].at = at
     d.last_decision_at = 106.4
-    assert d.decide(106.5).cause is Cause.FAILED, "the others are heard of"
+    assert d.decide(106.5).cause is Cause.FAILED, "the other nodes of the site are reachable"
 
 
 def test_a_controller_that_stood_still_holds_no_silence_of_that_time_against_nodes() -> None:
     d = director(State.PROVING, 0, a1=trial("a1"))
     assert d.decide(100.0).cause is Cause.NEXT
-    assert d.decide(130.0).cause is None  # stopped for 30 s, within its lease
+    assert d.decide(130.0).cause is None  # the controller was paused for 30 s, within its lease
     assert d.decide(131.5).cause is None
-    assert [d.decide(131.5 + i).cause for i in range(7)][-1] is Cause.FAILED_PAUSE  # and now it is theirs
+    assert [d.decide(131.5 + i).cause for i in range(7)][-1] is Cause.FAILED_PAUSE  # silence since then counts
 
 
 def test_a_trial_that_does_not_answer_is_not_proven() -> None:
@@ -343,7 +343,7 @@
 def test_an_answer_that_another_has_overtaken_is_not_taken_for_the_newer() -> None:
     d = director(State.STAGE, 0)
     d.receive_status("a1", trial("a1", proved=False, keeper=1.0, serial=7), 100.1)
-    d.receive_status("a1", status("a1", keeper=1.0, serial=6), 100.2)  # said before it was told
+    d.receive_status("a1", status("a1", keeper=1.0, serial=6), 100.2)  # sent before the command arrived
     assert d.decide(100.2).cause is Cause.SERVED
     d.receive_status("a1", status("a1", keeper=2.0, serial=1), 100.3)  # another keeper
     assert [c.say for c in d.decide(100.3).commands] == ["try"]
@@ -367,7 +367,7 @@
     d.change.since = 95.0
     assert d.decide(130.0).cause is Cause.ALL_BACK and d.change.left == ["b2"]
     d.move(Cause.ALL_BACK, "", 130.0)
-    d.receive_status("b2", trial("b2"), 131.0)  # it comes back after the end
+    d.receive_status("b2", trial("b2"), 131.0)  # it recovers after the end
     assert [(c.node, c.generation) for c in d.decide(131.0).commands] == [("b2", "old")]
 
 
@@ -376,12 +376,12 @@
     kind = trial if state is State.BACK else status
     stage = 2
 
-    def told(silent: float) -> set[str]:
+    def commanded(silent: float) -> set[str]:
         late = {name: kind(name, answers=False, silent=silent) for name in ("a1", "a2", "a3")}
         return {c.node for c in director(state, stage, **late).decide(100.0).commands}
 
-    assert told(0.7) == set(), "they may serve, and two of one place would be out"
-    assert told(2.5) == {"a1", "a2", "a3"}, "nothing is taken away"
+    assert commanded(0.7) == set(), "they may be serving, and two nodes of one site would be out"
+    assert commanded(2.5) == {"a1", "a2", "a3"}, "they are down, so no capacity is lost"
 
 
 def test_a_node_that_may_still_be_told_to_try_is_given_one_more_step() -> None:
@@ -419,6 +419,6 @@
     assert first.acquired("b", 104.9, 5.0) is None and first.renewed(104.0, 5.0).until == 109.0
     assert first.acquired("b", 105.0, 5.0) == Lease("b", 2, 110.0)
     assert first.released().acquired("b", 100.1, 5.0) == Lease("b", 2, 105.1)
-    assert first.acquired("b", 20.0, 5.0) == Lease("b", 2, 25.0), "a clock that was set back must not hold it"
+    assert first.acquired("b", 20.0, 5.0) == Lease("b", 2, 25.0), "a clock that was set back must not block the lease"
     assert first.raised_above(7).epoch == 8 and first.raised_above(1) == first.raised_above(0) == first
     assert first.raised_above(1, unknown_steps=True).epoch == 2 and first.raised_above(0, unknown_steps=True) == first
--- a/tests/rollout/test_rehearsal.py
+++ b/tests/rollout/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Whole changes in simulated time: messages lost, late and twice, deaths of nodes, keepers and controllers."""
+"""Simulated changes with lost, late and duplicate messages, and crashes of nodes, keepers and controllers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def one_end(world: Rehearsal) -> bool:
-    """The fleet agrees with the record, and nothing is left on trial."""
+    """Return whether the fleet agrees with the record and no node is left on trial."""
     wanted = {State.DONE: NEW, State.TAKEN_BACK: OLD}[world.change.state]
     return world.settled() and world.running() == {wanted: len(world.nodes)}
 
@@ -36,7 +36,7 @@
     world = rehearse(Faults(), 1, settings_only=settings_only)
     assert world.change.state is State.DONE and one_end(world) and world.over == 0
     started = [n.goal_starts for n in world.nodes.values()]
-    assert sum(started) == (1 if settings_only else 24) and max(started) == 1  # the first one proves a start
+    assert sum(started) == (1 if settings_only else 24) and max(started) == 1  # the first stage also tests a start
     assert world.steps == 48  # a try and a confirm for each
 
 
@@ -88,6 +88,6 @@
     world = rehearse(Faults(), 1, nodes=1, sites=1)
     assert world.change.state is State.DONE and one_end(world)
     alone = rehearse(Faults(bad="no hand-over"), 1, nodes=1, sites=1)
-    assert alone.change.state is State.TAKEN_BACK  # the last healthy node is not restarted for it
+    assert alone.change.state is State.TAKEN_BACK  # the last healthy node is not restarted
     sites = rehearse(Faults(), 1, nodes=3, sites=3)
     assert sites.change.state is State.DONE and one_end(sites)
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -1,4 +1,4 @@
-"""A change told to people: its page, and what its stages could show before it begins."""
+"""Tests of the HTML report of a change, and of the power of its stages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def changed(path: Path) -> Record:
-    """A record of a change that the judge has taken back in its second stage."""
+    """Return the record of a change that the judge rolled back in its second stage."""
     record = Record(path)
     change: Change = msgspec.structs.replace(
         filled(Change), id="c1", goal="9" * 64, before=GENERATION, stages=[["a"], ["b", "c"]], state=State.PLANNED,
@@ -75,7 +75,7 @@
     found = collect(changed(tmp_path / "record.db"), "c1")
     assert found is not None
     text = page(found)
-    assert "<script>" not in text and text.count("&lt;script&gt;") == 4  # twice as a move, as its end, as a look
+    assert "<script>" not in text and text.count("&lt;script&gt;") == 4  # in two transitions, the summary and a look
     for words in ("Change c1: taken back", "taken back", "no figure is worse", "1 against 2", "0.250", "over a day"):
         assert words in text, words
     assert text.count('class="worse"') == 1 and "http" not in text.replace("<!doctype html>", "")
@@ -97,16 +97,16 @@
     out = tmp_path / "page.html"
     assert run.invoke(app, ["rollout", "report", file, "c1", "--out", str(out)]).exit_code == 0
     assert out.read_text().startswith("<!doctype html>")
-    for arguments, status, said in (
+    for arguments, status, message in (
         (["c9"], 1, "no change 'c9'"), (["c1", "--out", "/no/such/folder/x.html"], 2, "no such folder"),
         (["c1", "--out", str(tmp_path)], 2, "directory"),
     ):
         result = run.invoke(app, ["rollout", "report", file, *arguments])
-        assert result.exit_code == status and said in result.stderr and result.stderr.count("\n") == 1, result.stderr
+        assert result.exit_code == status and message in result.stderr and result.stderr.count("\n") == 1, result.stderr
 
 
 class Fleet:
-    """Keepers that only measure: each node takes a hundred requests a second, by their own count of time."""
+    """Keepers that only report work: each node has 100 requests per second by its own clock."""
 
     def __init__(self, silent: int = 0) -> None:
         self.silent, self.since = silent, time.monotonic()
@@ -146,7 +146,7 @@
     if silent:
         assert not powers and "only 2 of 6 nodes report" in why
         return
-    assert why == "" and {p.stage for p in powers} == {0, 1}  # the last leaves no unchanged node
+    assert why == "" and {p.stage for p in powers} == {0, 1}  # the last stage leaves no unchanged node
     assert {p.figure for p in powers} == {"served in time", "refused", "failed", "late"}
     refused = [p.least for p in powers if p.figure == "refused"]
     assert refused[0] is not None and refused[1] is not None and 0 < refused[1] < refused[0] < 0.2
