--- a/headspar/rollout/host.py
+++ b/headspar/rollout/host.py
@@ -68,23 +68,23 @@
     return {member.name: status for member, status in zip(members, found, strict=True)}
 
 
-async def observe_fleet(members: list[Member], ways: Judged, change: Change) -> tuple[list[Power], str]:
-    """Take a baseline of the fleet for ``ways.watch_s`` seconds, as before a change.
+async def observe_fleet(members: list[Member], settings: Judged, change: Change) -> tuple[list[Power], str]:
+    """Take a baseline of the fleet for ``settings.watch_s`` seconds, as before a change.
 
     Returns the power of each stage, and why there is none (empty if there is).
     """
     from headspar.rollout.judging import Judging  # its libraries take a second to load
 
-    judging = Judging(ways, {member.name: member.site for member in members}, time.monotonic(), None)
+    judging = Judging(settings, {member.name: member.site for member in members}, time.monotonic(), None)
 
     async def measure(member: Member) -> None:
         while True:
             with contextlib.suppress(OSError):
                 record_work(judging, member, await send(member, m.Measure()))
-            await asyncio.sleep(ways.every_s)
+            await asyncio.sleep(settings.every_s)
 
     tasks = [asyncio.create_task(measure(member)) for member in members]
-    await asyncio.sleep(ways.watch_s + ways.every_s)
+    await asyncio.sleep(settings.watch_s + settings.every_s)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -274,7 +274,7 @@
                 continue
             with contextlib.suppress(OSError):
                 record_work(judging, member, await send(member, m.Measure()))
-            await asyncio.sleep(judging.ways.every_s)
+            await asyncio.sleep(judging.settings.every_s)
 
     def _raise_epoch(self, status: m.Status) -> None:
         """Raise our epoch and steps above a keeper's; raises ``Fenced`` if the lease is no longer ours.
--- a/headspar/rollout/judge/compare.py
+++ b/headspar/rollout/judge/compare.py
@@ -51,7 +51,7 @@
     return {n: value(r.get(of, 0.0), r[per]) for n, r in rows.items() if r.get(per, 0.0) > 0}
 
 
-class Change(msgspec.Struct, frozen=True):
+class NodeDelta(msgspec.Struct, frozen=True):
     """How one node's figure has changed: ``by`` is its value now minus its baseline.
 
     ``weight`` is the node's traffic in the period compared, ``variance`` the sampling variance of ``by``.
@@ -101,7 +101,7 @@
     return float(stdtrit(degrees, level)) if degrees > 0 else inf
 
 
-def spread_of(groups: Iterable[Sequence[tuple[float, float]]]) -> Spread:
+def within_group_spread(groups: Iterable[Sequence[tuple[float, float]]]) -> Spread:
     """Return the spread within groups of (value, sampling variance), each about its precision-weighted mean."""
     total = Spread()
     for group in groups:
@@ -121,7 +121,7 @@
     groups = []
     for a, b in zip(pieces[::2], pieces[1::2], strict=False):
         groups.append([(b[n].ratio - a[n].ratio, a[n].variance + b[n].variance) for n in sorted(a.keys() & b.keys())])
-    return spread_of(groups)
+    return within_group_spread(groups)
 
 
 def pooled(own: Spread, baseline: Spread) -> Spread:
@@ -133,19 +133,19 @@
     return own.combined_with(baseline)
 
 
-def difference(changes: Sequence[Change], baseline: Spread, level: float) -> Difference | None:
+def difference(changes: Sequence[NodeDelta], baseline: Spread, level: float) -> Difference | None:
     """Return the traffic-weighted difference within sites; ``level`` is the error on each side.
 
     None if no site has both new and unchanged nodes.
     """
-    sites: dict[str, tuple[list[Change], list[Change]]] = {}
+    sites: dict[str, tuple[list[NodeDelta], list[NodeDelta]]] = {}
     for c in changes:
         if c.weight > 0:
             sites.setdefault(c.site, ([], []))[not c.new].append(c)
     both = [pair for _, pair in sorted(sites.items()) if pair[0] and pair[1]]
     if not both:
         return None
-    spread = pooled(spread_of([(c.by, c.variance) for c in group] for pair in both for group in pair), baseline)
+    spread = pooled(within_group_spread([(c.by, c.variance) for c in group] for pair in both for group in pair), baseline)
     total = sum(c.weight for new, _ in both for c in new)
     by = variance = 0.0
     for new, old in both:
@@ -159,10 +159,10 @@
                       sum(len(old) for _, old in both))
 
 
-def _mean(group: Sequence[Change]) -> float:
+def _mean(group: Sequence[NodeDelta]) -> float:
     return sum(c.weight * c.by for c in group) / sum(c.weight for c in group)
 
 
-def _variance(group: Sequence[Change]) -> float:
+def _variance(group: Sequence[NodeDelta]) -> float:
     """Return the sampling variance of the weighted mean."""
     return sum(c.weight**2 * c.variance for c in group) / sum(c.weight for c in group) ** 2
--- a/headspar/rollout/judge/judge.py
+++ b/headspar/rollout/judge/judge.py
@@ -27,8 +27,8 @@
 
 from headspar.rollout.judge.before import Before, taken
 from headspar.rollout.judge.compare import (
-    Change,
     Difference,
+    NodeDelta,
     Spread,
     Value,
     difference,
@@ -137,8 +137,8 @@
         if now - stage.since > limits.lost_s:
             # In a site that fails, the last readings of the nodes arrive at slightly different times.  The nodes of
             # a site that is falling silent are not counted until it is known whether the whole site has failed.
-            falling = self._dead_sites(now, limits.lost_s / 3)
-            lost = [n for n in new if self.intake.silent_s(n, now) > limits.lost_s and self._site(n) not in falling]
+            failing = self._dead_sites(now, limits.lost_s / 3)
+            lost = [n for n in new if self.intake.silent_s(n, now) > limits.lost_s and self._site(n) not in failing]
             if lost and len(lost) >= max(1, ceil(0.2 * len(new))):
                 return Verdict(Kind.BACK, f"{len(lost)} of {len(new)} changed nodes have not reported figures for "
                                           f"{limits.lost_s:.0f} s ({', '.join(lost[:3])})")
@@ -153,14 +153,14 @@
         slopes = {n: _slope(self.intake.gauge(n, "memory_mb", self.stage.since + WARM_UP_S))
                   for n in [*new, *self.old]}
         baseline = sorted(s[0] for n in self.old if (s := slopes[n]) is not None)
-        above = baseline[-1] if baseline else 0.0
-        full = [n for n in new if (s := slopes[n]) is not None and s[0] > max(0.0, above)
-                and s[1] + 3600 * s[0] > self.limits.memory_mb]
+        steepest = baseline[-1] if baseline else 0.0
+        leaking = [n for n in new if (s := slopes[n]) is not None and s[0] > max(0.0, steepest)
+                   and s[1] + 3600 * s[0] > self.limits.memory_mb]
         reporting = sum(slopes[n] is not None for n in new)
-        if reporting and len(full) >= max(1, ceil(0.75 * reporting)):
-            rate = sorted(s[0] for n in full if (s := slopes[n]) is not None)[0]
-            return Verdict(Kind.BACK, f"memory of {len(full)} changed nodes grows by {60 * rate:.2f} MB per minute "
-                                      f"or more and exceeds {self.limits.memory_mb:.0f} MB within the hour")
+        if reporting and len(leaking) >= max(1, ceil(0.75 * reporting)):
+            rate = sorted(s[0] for n in leaking if (s := slopes[n]) is not None)[0]
+            return Verdict(Kind.BACK, f"memory of {len(leaking)} changed nodes grows by {60 * rate:.2f} MB per "
+                                      f"minute or more and exceeds {self.limits.memory_mb:.0f} MB within the hour")
         return None
 
     # ------------------------------------------------------------ figures
@@ -209,30 +209,31 @@
         if violation is not None:
             return violation
         lasted = now - since
-        open_ = [s for s in seen if s.high >= s.margin]
-        if not open_ and not missing and seen and lasted >= self.limits.least_s:
+        undecided = [s for s in seen if s.high >= s.margin]
+        if not undecided and not missing and seen and lasted >= self.limits.least_s:
             return Verdict(Kind.GO_ON, f"no figure is worse by its margin after {lasted:.0f} s", tuple(seen))
         if lasted >= self.limits.most_s:
-            return self._undecided(open_, missing, lasted, seen)
-        if not open_ and not missing:
+            return self._undecided(undecided, missing, lasted, seen)
+        if not undecided and not missing:
             return Verdict(Kind.WAIT, "no figure is worse; the stage's minimum duration is not over", tuple(seen),
                            self.limits.least_s - lasted)
         if missing and not seen:
             return Verdict(Kind.WAIT, "no site has both changed and unchanged nodes with figures", (), lasted)
-        widest = max(open_, key=lambda s: (s.high - s.harm) / max(1e-9, s.margin - max(0.0, s.harm)), default=seen[0])
-        room = max(0.05 * widest.margin, widest.margin - max(0.0, widest.harm))
-        factor = min(100.0, ((widest.high - widest.harm) / room) ** 2)
+        widest = max(undecided, key=lambda s: (s.high - s.harm) / max(1e-9, s.margin - max(0.0, s.harm)),
+                     default=seen[0])
+        gap = max(0.05 * widest.margin, widest.margin - max(0.0, widest.harm))
+        factor = min(100.0, ((widest.high - widest.harm) / gap) ** 2)
         return Verdict(Kind.WAIT, f"{_describe(widest)}: not significant yet", tuple(seen),
                        max(1.0, lasted * (factor - 1.0)))
 
-    def _undecided(self, open_: list[Comparison], missing: list[str], lasted: float,
+    def _undecided(self, undecided: list[Comparison], missing: list[str], lasted: float,
                    seen: list[Comparison]) -> Verdict:
         """Return the verdict to pause when the time of the stage is up."""
         if missing and not seen:
             return Verdict(Kind.PAUSE, f"after {lasted:.0f} s there is nothing to compare the changed nodes with")
-        if not open_:
+        if not undecided:
             return Verdict(Kind.PAUSE, f"after {lasted:.0f} s some figures are missing: {missing[0]}", tuple(seen))
-        w = open_[0]
+        w = undecided[0]
         if w.low > 0:
             return Verdict(Kind.PAUSE, f"{_describe(w)}: significantly worse, undecided whether by the margin",
                            tuple(seen))
@@ -249,12 +250,12 @@
         return new, old
 
     def _controls(self, now: float) -> frozenset[str]:
-        """Return the control nodes; while the stage is young, only the placebo nodes of sites that have some."""
-        shams = self.stage.shams
-        if not shams or now - self.stage.since > WARM_UP_S:
+        """Return the control nodes; while changed nodes warm up, only the placebo nodes of sites that have some."""
+        placebos = self.stage.shams
+        if not placebos or now - self.stage.since > WARM_UP_S:
             return self.old
-        with_shams = {self._site(n) for n in shams}
-        return frozenset(n for n in self.old if n in shams or self._site(n) not in with_shams)
+        placebo_sites = {self._site(n) for n in placebos}
+        return frozenset(n for n in self.old if n in placebos or self._site(n) not in placebo_sites)
 
     def _values(self, f: Figure, nodes: Iterable[str], since: float, until: float, changed: frozenset[str],
                 ) -> dict[str, Value]:
@@ -288,7 +289,7 @@
         changes = []
         for n in sorted(after.keys() & before.keys()):
             a, b = after[n], before[n]
-            changes.append(Change(n, self._site(n) if by_site else "", n in of, sign * (a.ratio - b.ratio), a.per,
+            changes.append(NodeDelta(n, self._site(n) if by_site else "", n in of, sign * (a.ratio - b.ratio), a.per,
                                   a.variance + b.variance))
         found: Difference | None = difference(changes, self._spread(f, until - since), level)
         if found is None:
--- a/headspar/rollout/judging.py
+++ b/headspar/rollout/judging.py
@@ -27,8 +27,8 @@
     ``before`` is the baseline from the record; None if it has still to be taken.
     """
 
-    def __init__(self, ways: Judged, sites: Mapping[str, str], now: float, before: Before | None) -> None:
-        self.ways, self.sites, self.began, self.before = ways, dict(sites), now, before
+    def __init__(self, settings: Judged, sites: Mapping[str, str], now: float, before: Before | None) -> None:
+        self.settings, self.sites, self.began, self.before = settings, dict(sites), now, before
         self.intake = Intake(now)
         self.judge: Judge | None = None
         self.stage: tuple[int, float] | None = None
@@ -42,10 +42,10 @@
 
     def waits(self, now: float) -> str:
         """Return why the change cannot begin yet; empty once the baseline can be taken."""
-        if now < self.began + self.ways.watch_s:
-            return f"the baseline of the fleet is being taken for {self.ways.watch_s:.0f} s"
-        least = MIN_REPORTING * self.ways.watch_s
-        since = now - self.ways.watch_s
+        if now < self.began + self.settings.watch_s:
+            return f"the baseline of the fleet is being taken for {self.settings.watch_s:.0f} s"
+        least = MIN_REPORTING * self.settings.watch_s
+        since = now - self.settings.watch_s
         reporting = sum(self.intake.sums(n, since, now)["spans"] >= least for n in self.sites)
         if reporting < MIN_REPORTING * len(self.sites):
             return f"only {reporting} of {len(self.sites)} nodes report their work: the change could not be judged"
@@ -53,12 +53,12 @@
 
     def look_before(self, now: float) -> Before:
         """Take the baseline from the time up to ``now`` and return it."""
-        self.before = taken(self.intake, now, self.ways.watch_s)
+        self.before = taken(self.intake, now, self.settings.watch_s)
         return self.before
 
     def powers(self, change: Change) -> list[Power]:
         """Return the power of each stage; empty without a baseline."""
-        return powers(self.before, change.stages, self.ways.limits) if self.before is not None else []
+        return powers(self.before, change.stages, self.settings.limits) if self.before is not None else []
 
     # ------------------------------------------------------------ a stage
 
@@ -75,7 +75,7 @@
             self.stage = at
             new = frozenset(n for stage in change.stages[: change.stage + 1] for n in stage)
             since = now - (clock - change.stage_since)
-            self.judge = Judge(self.intake, Stage(since, new, change.goal), self.ways.limits, self.before, looks)
+            self.judge = Judge(self.intake, Stage(since, new, change.goal), self.settings.limits, self.before, looks)
         judge = self.judge
         previous = judge.looks, judge.last.kind
         verdict = judge.look(now, self.world(judge.old, now), changed)
--- a/headspar/rollout/report.py
+++ b/headspar/rollout/report.py
@@ -64,12 +64,12 @@
 
 def closest_figures(history: ChangeHistory) -> list[str]:
     """Return the names of the figures that came closest to their margins or exceeded them most, worst first."""
-    worst: dict[str, float] = {}
+    ratios: dict[str, float] = {}
     for look in history.looks:
         for s in look.seen:
             share = s.harm / s.margin if s.margin > 0 else 0.0
-            worst[s.figure] = max(worst.get(s.figure, share), share)
-    return sorted(worst, key=lambda name: -worst[name])[:MAX_FIGURES]
+            ratios[s.figure] = max(ratios.get(s.figure, share), share)
+    return sorted(ratios, key=lambda name: -ratios[name])[:MAX_FIGURES]
 
 
 def chart(history: ChangeHistory) -> bytes:
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -79,7 +79,7 @@
 OVER = (S.DONE, S.TAKEN_BACK)
 # States in which a command without an answer may be sent again, by kind of command.
 RESEND_STATES = {"try": (S.STAGE, S.PROVING), "hold": (S.CONFIRMING,), "confirm": (S.CONFIRMING, S.DONE),
-           "back": (S.BACK, *OVER)}
+                 "back": (S.BACK, *OVER)}
 
 
 class RolloutPolicy(msgspec.Struct, frozen=True):
@@ -179,6 +179,7 @@
     # ------------------------------------------------------------ state of the fleet
 
     def receive_status(self, name: str, status: Status, clock: float) -> None:
+        """Store a node's status, unless a later one of the same keeper has arrived before it."""
         observation, previous = self.observations[name], self.observations[name].status
         if previous is not None and previous.keeper == status.keeper and status.serial < previous.serial:
             return  # answers arrived out of order: this one is older
@@ -195,10 +196,11 @@
     def fresh_status(self, name: str, clock: float) -> Status | None:
         """Return the node's status if it is recent, else None."""
         observation = self.observations[name]
-        short = self.change.ways.lost_s / 3
-        return observation.status if observation.at >= 0 and clock - observation.at <= short else None
+        max_age = self.change.ways.lost_s / 3
+        return observation.status if observation.at >= 0 and clock - observation.at <= max_age else None
 
     def _condition(self, name: str, clock: float) -> NodeCondition:
+        """Return whether the node counts as out, and its load, for the limits."""
         status = self.fresh_status(name, clock)
         if status is None or name in self.unacknowledged:
             return NodeCondition(name, self.sites[name], True, down=False)
@@ -211,6 +213,7 @@
         return NodeCondition(name, self.sites[name], moving or down or not status.answers, f.rate, cold, down)
 
     def budget(self, clock: float) -> DisruptionBudget:
+        """Return the disruption budget at ``clock``."""
         return DisruptionBudget(self.change.ways.limits, [self._condition(name, clock) for name in self.sites])
 
     def has_goal(self, status: Status) -> bool:
@@ -222,7 +225,7 @@
         status = self.observations[name].status
         return status is not None and self.has_goal(status)
 
-    def _is_proven(self, status: Status) -> bool:
+    def _is_proved(self, status: Status) -> bool:
         goal = self.change.goal
         return status.trial == goal and status.proved and status.answers or self._is_confirmed(status)
 
@@ -247,8 +250,8 @@
         It must if it has the goal, is on its way back, or may still receive a command to try the goal: one more step
         makes a command in flight an old one, which the keeper refuses.
         """
-        on_way = status.course in ("going back", "held") and self._left_trial(status)
-        return self.has_goal(status) or on_way or name in self.unacknowledged
+        leaving = status.course in ("going back", "held") and self._left_trial(status)
+        return self.has_goal(status) or leaving or name in self.unacknowledged
 
     def target_nodes(self) -> list[str]:
         """Return the nodes of all stages up to the current one."""
@@ -331,6 +334,7 @@
         return f"{lost[0]} is unreachable"
 
     def _order(self, name: str) -> Order:
+        """Return the order for a node's trial; the last node of a site is never restarted."""
         ways = self.change.ways
         is_last = sum(site == self.sites[name] for site in self.sites.values()) == 1
         return Order(self.change.id, self.change.goal, ways.proving_s, ways.restart and not is_last,
@@ -383,7 +387,7 @@
                 return Decision(waits=f"{name} is unreachable")
             if self._lost_trial(status):
                 return Decision(cause=C.AGAIN, why=f"{name} has lost its trial")
-            if not self._is_proven(status):
+            if not self._is_proved(status):
                 return Decision(waits=f"{name} is {status.state}")
         if clock - change.since < change.ways.settle_s:
             return Decision(waits="the stage is settling")
@@ -474,7 +478,7 @@
         """After the end of the change, bring nodes that become reachable again to the generation that holds."""
         change = self.change
         goal = change.goal if change.state is S.DONE else change.before
-        wrong = change.before if change.state is S.DONE else change.goal
+        unwanted = change.before if change.state is S.DONE else change.goal
         out, budget = Decision(), self.budget(clock)
         for name in self.sites:
             status = self.fresh_status(name, clock)
@@ -484,7 +488,7 @@
                 if status.proved:  # it lost its state, and a late command made it try once more
                     out.commands.append(Command(name, "confirm", goal))
                 continue
-            if wrong not in (status.trial, status.present, status.running) and name not in self.unacknowledged:
+            if unwanted not in (status.trial, status.present, status.running) and name not in self.unacknowledged:
                 continue
             if goal not in status.generations:
                 out.commands += self._fetch_commands([name], goal, clock) if change.state is S.DONE else []
--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -14,16 +14,16 @@
 
 from headspar.rollout.judge.before import taken
 from headspar.rollout.judge.compare import (
-    Change,
+    NodeDelta,
     Spread,
     Value,
     difference,
     error_share,
     placebo,
     pooled,
-    spread_of,
     t_quantile,
     value,
+    within_group_spread,
 )
 from headspar.rollout.judge.intake import MAX_PROCESSES, Intake, Reading
 from headspar.rollout.judge.power import minimum_detectable_harm, powers
@@ -92,9 +92,9 @@
 
 
 def test_a_difference_is_taken_within_sites_and_weighed_by_traffic() -> None:
-    rows = [Change("n", "a", True, 0.5, 300, 1.0), Change("o", "a", False, 0.1, 10, 1.0),
-            Change("p", "a", False, 0.1, 10, 1.0), Change("q", "b", True, 0.9, 100, 1.0),
-            Change("r", "b", False, 0.9, 10, 1.0), Change("s", "c", False, 9.9, 10, 1.0)]
+    rows = [NodeDelta("n", "a", True, 0.5, 300, 1.0), NodeDelta("o", "a", False, 0.1, 10, 1.0),
+            NodeDelta("p", "a", False, 0.1, 10, 1.0), NodeDelta("q", "b", True, 0.9, 100, 1.0),
+            NodeDelta("r", "b", False, 0.9, 10, 1.0), NodeDelta("s", "c", False, 9.9, 10, 1.0)]
     d = difference(rows, Spread(4.0, 4), 0.05)
     assert d is not None and (d.new, d.old) == (2, 3)
     assert d.by == pytest.approx(0.75 * 0.4 + 0.25 * 0.0) and d.low < d.by < d.high
@@ -102,7 +102,7 @@
 
 
 def test_two_nodes_alone_have_only_the_time_before_to_go_by() -> None:
-    rows = [Change("n", "a", True, 0.5, 1, 0.01**2), Change("o", "a", False, 0.1, 1, 0.01**2)]
+    rows = [NodeDelta("n", "a", True, 0.5, 1, 0.01**2), NodeDelta("o", "a", False, 0.1, 1, 0.01**2)]
     d = difference(rows, Spread(), 0.05)
     assert d is not None and d.low == float("-inf") and d.high == float("inf")
     d = difference(rows, Spread(8.0, 8), 0.05)
@@ -110,9 +110,9 @@
 
 
 def test_a_stage_whose_own_spread_is_larger_for_certain_is_judged_by_that_alone() -> None:
-    own, beside = Spread(9.0, 9), Spread(0.2, 20)
-    assert pooled(own, beside) == own and pooled(Spread(0.1, 9), beside) == Spread(0.1 + 0.2, 29)
-    assert spread_of([[(1.0, 1.0), (3.0, 1.0)], [(5.0, 1.0)]]) == Spread(2.0, 1)
+    own, baseline = Spread(9.0, 9), Spread(0.2, 20)
+    assert pooled(own, baseline) == own and pooled(Spread(0.1, 9), baseline) == Spread(0.1 + 0.2, 29)
+    assert within_group_spread([[(1.0, 1.0), (3.0, 1.0)], [(5.0, 1.0)]]) == Spread(2.0, 1)
     none, one, three = (Value(x, 100.0, 0.5) for x in (0.0, 1.0, 3.0))
     pieces = [{"a": none, "b": none}, {"a": one, "b": three}, {"a": none, "b": none}, {"a": none}]
     assert placebo(pieces) == Spread(2.0, 1)
@@ -132,8 +132,8 @@
         rows = []
         for i in range(10):
             size = rng.choice([1, 2, 3])
-            rows.append(Change(f"n{i}", "ab"[i % 2], i < new, rng.gauss(0, 1.7) / size**0.5, size, 1.0 / size))
-        spread = spread_of([[(rng.gauss(0, 1.7), 1.0) for _ in range(6)]])
+            rows.append(NodeDelta(f"n{i}", "ab"[i % 2], i < new, rng.gauss(0, 1.7) / size**0.5, size, 1.0 / size))
+        spread = within_group_spread([[(rng.gauss(0, 1.7), 1.0) for _ in range(6)]])
         d = difference(rows, spread, 0.05)
         assert d is not None
         below += d.low > 0
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -62,8 +62,8 @@
     # Which figure is detected first is random, and a class with few requests varies much; the planted harm is 0.25.
     worst = looks[-1].seen[0]
     assert worst.low > 0 and worst.harm >= worst.margin
-    whole = [s for s in looks[-1].seen if s.figure == "refused"]
-    assert whole and all(s.low <= 0.25 <= s.high for s in whole)
+    refused = [s for s in looks[-1].seen if s.figure == "refused"]
+    assert refused and all(s.low <= 0.25 <= s.high for s in refused)
     assert sum(starts(run, "new").values()) == 1  # no other node was changed
     assert len(record(run).powers("c1")) > 0
 
@@ -107,11 +107,11 @@
         assert await ended(await run.controller("resume", str(run.operator_path), "--json")) == 0
         assert await ended(led, 120.0) == 0
         await until(lambda: settled(run, "new"))
-        gone.extend(dying)
+        down.extend(dying)
 
-    gone: list[str] = []
+    down: list[str] = []
     _, run = judged(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
-    assert len(gone) == 2 and change(run).state is State.DONE
+    assert len(down) == 2 and change(run).state is State.DONE
     assert not any(k.kind == "take back" for k in record(run).looks("c1"))
     assert runs.steps_twice(run) == []
 
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -102,7 +102,8 @@
         (["c1", "--out", str(tmp_path)], 2, "directory"),
     ):
         result = run.invoke(app, ["rollout", "report", file, *arguments])
-        assert result.exit_code == status and message in result.stderr and result.stderr.count("\n") == 1, result.stderr
+        assert result.exit_code == status and message in result.stderr and result.stderr.count("\n") == 1, \
+            result.stderr
 
 
 class Fleet:
