--- a/headspar/rollout/judge/compare.py
+++ b/headspar/rollout/judge/compare.py
@@ -145,7 +145,8 @@
     both = [pair for _, pair in sorted(sites.items()) if pair[0] and pair[1]]
     if not both:
         return None
-    spread = pooled(within_group_spread([(c.by, c.variance) for c in group] for pair in both for group in pair), baseline)
+    spread = pooled(within_group_spread([(c.by, c.variance) for c in group] for pair in both for group in pair),
+                    baseline)
     total = sum(c.weight for new, _ in both for c in new)
     by = variance = 0.0
     for new, old in both:
