--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -35,10 +35,10 @@
 
 # Never reuses a connection to a server.
 NO_REUSE = planted("connections/plan.py", '        """The attempt on a connection has ended in order',
-                 '        keep = False\n        """The attempt on a connection has ended in order')
+                   '        keep = False\n        """The attempt on a connection has ended in order')
 # Delivers every event to the module 100 ms late.
 DELAYS = planted("node/core.py", "            self.loop.call_soon(self._turn)\n",
-                  "            self.loop.call_later(0.1, self._turn)\n")
+                 "            self.loop.call_later(0.1, self._turn)\n")
 
 
 # Margins that a single node with few requests can be shown to keep within seconds.
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -202,9 +202,9 @@
                "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._tend()\n"
                "        if self.keeping")
 ACCEPTS_NOTHING = planted("process.py", "        await self._listen()\n        node.standstill",
-               "        self.socket.listen(64)\n        node.standstill")
+                          "        self.socket.listen(64)\n        node.standstill")
 IGNORES_SIGTERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
-                       "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
+                          "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
 OTHER_HANDOVER_VERSION = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
 NO_START = planted("process.py", "        node.settle()", "        raise OSError(5, 'planted')")
 
