--- a/headspar/rollout/judge/judge.py
+++ b/headspar/rollout/judge/judge.py
@@ -290,7 +290,7 @@
         for n in sorted(after.keys() & before.keys()):
             a, b = after[n], before[n]
             changes.append(NodeDelta(n, self._site(n) if by_site else "", n in of, sign * (a.ratio - b.ratio), a.per,
-                                  a.variance + b.variance))
+                                     a.variance + b.variance))
         found: Difference | None = difference(changes, self._spread(f, until - since), level)
         if found is None:
             return None
--- a/headspar/rollout/rehearsal.py
+++ b/headspar/rollout/rehearsal.py
@@ -187,7 +187,7 @@
         self.nodes = {f"n{i}": Node(self, f"n{i}", f"s{i % sites}") for i in range(nodes)}
         self.sites = {n.name: n.site for n in self.nodes.values()}
         ways = RolloutPolicy(limits, proving_s=3.0, settle_s=1.0, ready_s=40.0, lost_s=6.0,
-                    silence=faults.silence, silence_s=15.0)  # type: ignore[arg-type]
+                             silence=faults.silence, silence_s=15.0)  # type: ignore[arg-type]
         slots = deal(list(self.nodes), self.sites, limits.most, limits.most_of_site, 20.0, self.rng)
         stages = plan([Candidate(n.name, n.site) for n in self.nodes.values()], [0.2, 1.0])
         self.change = Change("c", NEW, "", OLD, stages, slots, ways)
--- a/headspar/rollout/report.py
+++ b/headspar/rollout/report.py
@@ -47,7 +47,7 @@
     for change, began in record.changes():
         if change.id == name:
             return ChangeHistory(change, began, record.moves(name), record.steps(name), record.looks(name),
-                        record.powers(name))
+                                 record.powers(name))
     return None
 
 
