--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge over fleets made by hand: harms of a stated size are seen, and what the world does is not blamed."""
+"""Tests of the judge on synthetic fleets: known harms are detected, and other causes are not blamed on the change."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import settings as quickly
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from headspar.rollout.judge.before import taken
 from headspar.rollout.judge.compare import (
-    Change,
+    NodeDelta,
     Spread,
     Value,
     difference,
-    part_of,
+    error_share,
     placebo,
     pooled,
-    quantile,
-    spread_of,
+    t_quantile,
     value,
+    within_group_spread,
 )
-from headspar.rollout.judge.intake import MOST_PROCESSES, Intake, Reading
-from headspar.rollout.judge.power import least_seen, powers
+from headspar.rollout.judge.intake import MAX_PROCESSES, Intake, Reading
+from headspar.rollout.judge.power import minimum_detectable_harm, powers
 from headspar.rollout.judge.terms import Kind, Limits, World
 from tests.rollout.judge.world import BEFORE_S, Fleet, Harm
 
@@ -39,7 +39,7 @@
 
 def test_what_a_node_did_is_the_difference_of_its_readings() -> None:
     i = Intake()
-    assert i.take(reading(100, 1000), 0.0)  # what it did before it was first heard belongs to no time of ours
+    assert i.take(reading(100, 1000), 0.0)  # counts before the first reading cannot be dated
     assert i.take(reading(101, 1040), 1.0) and i.take(reading(102, 1090), 2.0)
     assert i.sums("n0", 0.0, 2.0) == {"spans": 2.0, "taken": 90.0}
     assert i.sums("n0", 1.0, 2.0)["taken"] == 50.0 and i.sums("n0", 0.0, 0.5)["spans"] == 0.0
@@ -51,7 +51,7 @@
         i.take(reading(up, count), now)
     assert not i.take(reading(103, 30), 3.5) and not i.take(reading(102, 20), 4.0)
     i.take(reading(104, 40), 5.0)
-    assert i.sums("n0", 0.0, 9.0)["taken"] == 40.0 and i.passed_over == {"twice or out of order": 2}
+    assert i.sums("n0", 0.0, 9.0)["taken"] == 40.0 and i.rejected == {"duplicate or out of order": 2}
 
 
 def test_a_restart_sets_counts_to_nothing_and_a_late_word_of_the_process_before_is_passed_over() -> None:
@@ -62,11 +62,11 @@
     assert not i.take(reading(102, 520, "p0"), 4.0)
     i.take(reading(4, 20, "p1"), 5.0)
     assert i.sums("n0", 0.0, 9.0) == {"spans": 5.0, "taken": 30.0}
-    assert i.starts("n0", 0.0) == 1 and i.sums("n0", 0.0, 9.0, least_age_s=1.0)["taken"] == 22.0
+    assert i.starts("n0", 0.0) == 1 and i.sums("n0", 0.0, 9.0, min_age_s=1.0)["taken"] == 22.0
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0, 50), st.integers(0, 200)), max_size=60), st.randoms())
-@quickly(max_examples=200, deadline=None)
+@hypothesis_settings(max_examples=200, deadline=None)
 def test_whatever_comes_in_whatever_order_counts_are_never_below_nothing(rows, rng) -> None:  # type: ignore[no-untyped-def]
     i, now = Intake(), 0.0
     for process, up, count in rows:
@@ -74,27 +74,27 @@
         i.take(reading(up, float(count), f"p{process}"), now)
     sums = i.sums("n0", -1e9, 1e9)
     assert all(v >= 0 for v in sums.values())
-    assert not i.nodes or len(i.nodes["n0"].gone) <= MOST_PROCESSES
+    assert not i.nodes or len(i.nodes["n0"].past_processes) <= MAX_PROCESSES
 
 
 def test_figures_that_are_none_are_passed_over() -> None:
     i = Intake()
     for bad in (reading(1, float("nan")), reading(1, -1), reading(float("nan"), 1), reading(1, 1e300)):
         assert not i.take(bad, 0.0)
-    assert i.silent_s("n0", 5.0) == float("inf") and i.passed_over == {"no figures": 4}
+    assert i.silent_s("n0", 5.0) == float("inf") and i.rejected == {"invalid figures": 4}
 
 
 # ---------------------------------------------------------------- statistics
 
 
 def test_all_looks_together_have_no_more_than_the_error_allowed() -> None:
-    assert sum(part_of(k) for k in range(1, 10_000)) == pytest.approx(1.0, abs=1e-3)
+    assert sum(error_share(k) for k in range(1, 10_000)) == pytest.approx(1.0, abs=1e-3)
 
 
 def test_a_difference_is_taken_within_sites_and_weighed_by_traffic() -> None:
-    rows = [Change("n", "a", True, 0.5, 300, 1.0), Change("o", "a", False, 0.1, 10, 1.0),
-            Change("p", "a", False, 0.1, 10, 1.0), Change("q", "b", True, 0.9, 100, 1.0),
-            Change("r", "b", False, 0.9, 10, 1.0), Change("s", "c", False, 9.9, 10, 1.0)]
+    rows = [NodeDelta("n", "a", True, 0.5, 300, 1.0), NodeDelta("o", "a", False, 0.1, 10, 1.0),
+            NodeDelta("p", "a", False, 0.1, 10, 1.0), NodeDelta("q", "b", True, 0.9, 100, 1.0),
+            NodeDelta("r", "b", False, 0.9, 10, 1.0), NodeDelta("s", "c", False, 9.9, 10, 1.0)]
     d = difference(rows, Spread(4.0, 4), 0.05)
     assert d is not None and (d.new, d.old) == (2, 3)
     assert d.by == pytest.approx(0.75 * 0.4 + 0.25 * 0.0) and d.low < d.by < d.high
@@ -102,17 +102,17 @@
 
 
 def test_two_nodes_alone_have_only_the_time_before_to_go_by() -> None:
-    rows = [Change("n", "a", True, 0.5, 1, 0.01**2), Change("o", "a", False, 0.1, 1, 0.01**2)]
+    rows = [NodeDelta("n", "a", True, 0.5, 1, 0.01**2), NodeDelta("o", "a", False, 0.1, 1, 0.01**2)]
     d = difference(rows, Spread(), 0.05)
     assert d is not None and d.low == float("-inf") and d.high == float("inf")
     d = difference(rows, Spread(8.0, 8), 0.05)
-    assert d is not None and d.high - d.by == pytest.approx(quantile(0.95, 8) * 0.01 * 2**0.5)
+    assert d is not None and d.high - d.by == pytest.approx(t_quantile(0.95, 8) * 0.01 * 2**0.5)
 
 
 def test_a_stage_whose_own_spread_is_larger_for_certain_is_judged_by_that_alone() -> None:
-    own, beside = Spread(9.0, 9), Spread(0.2, 20)
-    assert pooled(own, beside) == own and pooled(Spread(0.1, 9), beside) == Spread(0.1 + 0.2, 29)
-    assert spread_of([[(1.0, 1.0), (3.0, 1.0)], [(5.0, 1.0)]]) == Spread(2.0, 1)
+    own, baseline = Spread(9.0, 9), Spread(0.2, 20)
+    assert pooled(own, baseline) == own and pooled(Spread(0.1, 9), baseline) == Spread(0.1 + 0.2, 29)
+    assert within_group_spread([[(1.0, 1.0), (3.0, 1.0)], [(5.0, 1.0)]]) == Spread(2.0, 1)
     none, one, three = (Value(x, 100.0, 0.5) for x in (0.0, 1.0, 3.0))
     pieces = [{"a": none, "b": none}, {"a": one, "b": three}, {"a": none, "b": none}, {"a": none}]
     assert placebo(pieces) == Spread(2.0, 1)
@@ -126,14 +126,14 @@
 
 @pytest.mark.parametrize("new", [1, 4])
 def test_a_difference_of_nothing_is_called_one_no_more_often_than_is_said(new: int) -> None:
-    """Nodes of very different size and spread alike; the interval at 0.05 a side leaves 0 out as often as that."""
+    """With nodes of different sizes but the same spread, the interval at 0.05 per side excludes 0 that often."""
     rng, below, draws = random.Random(5), 0, 1500
     for _ in range(draws):
         rows = []
         for i in range(10):
             size = rng.choice([1, 2, 3])
-            rows.append(Change(f"n{i}", "ab"[i % 2], i < new, rng.gauss(0, 1.7) / size**0.5, size, 1.0 / size))
-        spread = spread_of([[(rng.gauss(0, 1.7), 1.0) for _ in range(6)]])
+            rows.append(NodeDelta(f"n{i}", "ab"[i % 2], i < new, rng.gauss(0, 1.7) / size**0.5, size, 1.0 / size))
+        spread = within_group_spread([[(rng.gauss(0, 1.7), 1.0) for _ in range(6)]])
         d = difference(rows, spread, 0.05)
         assert d is not None
         below += d.low > 0
@@ -155,11 +155,11 @@
 @pytest.mark.parametrize(("harm", "reason"), [
     (Harm(refused=0.04), "refused"),
     (Harm(pay_refused=0.06), "pay"),
-    (Harm(late=0.05), "late|served in time"),  # whichever strays less in this draw
+    (Harm(late=0.05), "late|served in time"),  # whichever varies less in this draw
     (Harm(failed=0.03), "failed"),
     (Harm(handshakes=3.0), "handshakes"),
     (Harm(attempts=1.4), "attempts"),
-    (Harm(neighbours=0.06), "unchanged nodes beside changed ones"),
+    (Harm(neighbours=0.06), "unchanged nodes next to changed ones"),
     (Harm(broken=0.5), "broke a rule"),
     (Harm(slower=0.05), "time to answer"),
 ])
@@ -168,8 +168,8 @@
         new = 2 if harm.neighbours else 3
         verdict, at = Fleet(seed=seed, harm=harm, new=new, shams=3 if new == 3 else 0).play()
         assert verdict.kind is Kind.BACK and at <= 60, (seed, verdict.reason)
-        told = verdict.reason + " ".join(s.figure for s in verdict.seen if s.low > 0 and s.harm >= s.margin)
-        assert any(word in told for word in reason.split("|")), told
+        text = verdict.reason + " ".join(s.figure for s in verdict.seen if s.low > 0 and s.harm >= s.margin)
+        assert any(word in text for word in reason.split("|")), text
 
 
 def _after(since: dict[str, float], node: str, t: float) -> bool:
@@ -177,7 +177,7 @@
 
 
 def test_a_site_of_which_the_changed_nodes_fell_silent_a_moment_before_the_others_is_dead_all_the_same() -> None:
-    """The change was blamed for the site's death in the seconds until the others had been silent for as long."""
+    """The change was blamed for the failure of a site until its other nodes had been silent for as long."""
     for seed in range(4):
         fleet = Fleet(seed=seed, new=6, limits=Limits(lost_s=10.0))
         since = {n: 20.0 if n in fleet.changed else 23.0 for n in fleet.names if fleet.site[n] == "a"}
@@ -219,8 +219,10 @@
 
 
 def test_both_kinds_are_looked_at_in_the_same_seconds() -> None:
-    """A burst for all, half of it in the changed nodes' first seconds, which are not counted: with the others' first
-    seconds counted nine of sixteen such changes were taken back."""
+    """A burst hits all nodes, half of it while the changed nodes are settling, which is not counted.
+
+    When the unchanged nodes' counts of those seconds were used, nine of sixteen such changes were rolled back.
+    """
 
     def back(since: float, until: float) -> int:
         def trouble(site: str, t: float) -> float:
@@ -236,7 +238,7 @@
         verdict, _ = Fleet(seed=seed, new=6, dead=lambda site, t: site == "a" and t > 20).play()
         assert verdict.kind is not Kind.BACK, verdict.reason
         verdict, at = Fleet(seed=seed, lost=lambda node, t: node in ("n000", "n001") and t > 12).play()
-        assert verdict.kind is Kind.BACK and "not told their figures" in verdict.reason and 12 < at < 30
+        assert verdict.kind is Kind.BACK and "not reported figures" in verdict.reason and 12 < at < 30
 
 
 def test_figures_that_come_late_or_twice_change_no_verdict() -> None:
@@ -259,19 +261,21 @@
 def test_harm_to_neighbours_pauses_where_servers_have_died_there_too() -> None:
     fleet = Fleet(new=2, harm=Harm(neighbours=0.06), world=World(servers_lost={"a": 0.2}))
     verdict, _ = fleet.play()
-    assert verdict.kind is Kind.PAUSE and "can't be told from the world" in verdict.reason
+    assert verdict.kind is Kind.PAUSE and "servers or traffic of a have changed, which may be" in verdict.reason
 
 
 def test_the_plan_says_what_a_stage_shows_by_its_end_not_when_it_first_shows_the_margin() -> None:
-    """It said just under the margin, whatever the stage's length: a harm of that size was seen in all cases, not in
-    eight of ten."""
+    """The plan gave a value just under the margin for any length of stage.
+
+    A harm of that size was detected in all cases rather than in eight of ten.
+    """
     def least(most: float) -> tuple[float, float]:
         fleet, intake = Fleet(nodes=12, sites=1), Intake()
         for at, rows in fleet.before():
             for row in rows:
                 intake.take(row, at)
-        told = powers(taken(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)], Limits(by_class=(), most_s=most))
-        (p,) = (p for p in told if p.figure == "refused")
+        found = powers(taken(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)], Limits(by_class=(), most_s=most))
+        (p,) = (p for p in found if p.figure == "refused")
         assert p.least is not None and p.needs_s is not None
         return p.least, p.needs_s
 
@@ -280,7 +284,7 @@
 
 
 def test_a_stage_that_can_not_be_told_ends_when_its_time_is_over() -> None:
-    """Looks at times that grow by 1.3 passed over the end of the time allowed: 200 s were 245."""
+    """Looks at times that grow by a factor of 1.3 skipped the maximum duration: a stage of 200 s lasted 245 s."""
     for most in (100.0, 200.0):
         margin = tuple(msgspec.structs.replace(f, margin=1e-6) for f in Limits().figures)
         verdict, at = Fleet(limits=Limits(figures=margin, by_class=(), most_s=most)).play()
@@ -292,12 +296,13 @@
     verdict, _ = Fleet(nodes=2, sites=1, new=1, limits=Limits(most_s=120)).play()
     assert verdict.kind in (Kind.PAUSE, Kind.GO_ON) or verdict.more_s > 0
     verdict, _ = Fleet(nodes=1, sites=1, new=1, limits=Limits(most_s=60)).play()
-    assert verdict.kind is Kind.GO_ON and "no unchanged node is left" in verdict.reason  # as every last stage
+    assert verdict.kind is Kind.GO_ON and "no unchanged node is left" in verdict.reason  # as in every last stage
 
 
 def test_what_a_stage_could_see_shrinks_with_nodes_and_is_endless_without_a_yardstick() -> None:
     spread = Spread(20.0, 20)
-    few, many = (least_seen(spread, 2000, 0.05, n, 3 * n, Limits(), 20, 4) for n in (1, 8))
-    assert few > 2.5 * many > 0 and least_seen(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
-    assert least_seen(spread, 2000, 0.05, 1, 0, Limits(), 20, 1) == float("inf")
-    assert least_seen(spread, 8000, 0.05, 1, 3, Limits(), 20, 4) == pytest.approx(few / 2, rel=0.05)
+    few, many = (minimum_detectable_harm(spread, 2000, 0.05, n, 3 * n, Limits(), 20, 4) for n in (1, 8))
+    assert few > 2.5 * many > 0 and \
+        minimum_detectable_harm(Spread(), 2000, 0.05, 3, 9, Limits(), 20, 1) == float("inf")
+    assert minimum_detectable_harm(spread, 2000, 0.05, 1, 0, Limits(), 20, 1) == float("inf")
+    assert minimum_detectable_harm(spread, 8000, 0.05, 1, 3, Limits(), 20, 4) == pytest.approx(few / 2, rel=0.05)
