--- a/tests/model/test_mixture.py
+++ b/tests/model/test_mixture.py
@@ -1,4 +1,4 @@
-"""Nodes of several versions in one run: each decides by its own, and tells what it has done."""
+"""Nodes of several versions in one run: each uses its own version and reports its own work counters."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from headspar import decide
 from headspar.model.simulate import TuningError, simulate
-from headspar.model.work import Becomes, Mixture, Told, Version
+from headspar.model.work import Becomes, Mixture, Reading, Version
 from headspar.world.scenario import Fault, Load, Nodes, Scenario, Servers, check
 
 ARRIVED = "        self.capacity.offered_work += cost\n        a = self.admission\n"
@@ -28,15 +28,15 @@
     return Version(program=str(path))
 
 
-def rows(told: list[Told]) -> dict[str, list[Told]]:
+def rows(readings: list[Reading]) -> dict[str, list[Reading]]:
     out = defaultdict(list)
-    for row in told:
+    for row in readings:
         out[row.node].append(row)
     return out
 
 
-def since(row: list[Told], at_s: float) -> dict[str, float]:
-    """What the process that runs at the end has done since then."""
+def since(row: list[Reading], at_s: float) -> dict[str, float]:
+    """Returns the increase of the counters of the last process since ``at_s``."""
     last = row[-1]
     first = next((r for r in row if r.at_s >= at_s and r.process == last.process), last)
     return {k: v - first.counts.get(k, 0.0) for k, v in last.counts.items()}
@@ -50,12 +50,12 @@
     assert len(by_node) == 6 and all(len(r) >= 24 for r in by_node.values())
     assert {r.site for r in read.told} == {"site-a", "site-b", "site-c"} and {r.version for r in read.told} == {""}
     taken = sum(r[-1].counts["taken"] for r in by_node.values())
-    assert 0 <= read.verdict.taken - taken < 20  # answered after the last reading
+    assert 0 <= read.verdict.taken - taken < 20  # answered after the last sample
     for r in by_node.values():
         c = r[-1].counts
         assert c["taken"] == c["in_time"] + c["late"] + c["refused"] + c["failed"] and c["broken"] == 0
         assert c["attempts"] >= c["served"] == c["in_time"] + c["late"] and 0 < c["cpu_ms"] < 24_000
-        assert 2 < c["quarters"] / c["served"] < 16  # under the wanted time, which is 16
+        assert 2 < c["quarters"] / c["served"] < 16  # below the aim, which is at 16
         assert r[-1].gauges["servers"] == 6 and r[-1].up_s == pytest.approx(r[-1].at_s + 0.4, abs=0.01)
 
 
@@ -66,12 +66,13 @@
     changes = [Becomes(6.0, n, "new", way) for n in ("n1", "n4")]  # type: ignore[arg-type]
     result = simulate(scenario(), 2, mixture=Mixture({"new": refuses}, changes))
     assert not any(result.verdict.counts.values())
-    for name, told in rows(result.told).items():
-        c = since(told, 8.0)
+    for name, samples in rows(result.told).items():
+        c = since(samples, 8.0)
         new = name in ("n1", "n4")
         assert (0.2 < c["refused"] / c["taken"] < 0.4) == new, name
-        assert [r.version for r in told if r.at_s > 8.0] == ["new" if new else ""] * sum(r.at_s > 8.0 for r in told)
-        assert len({r.process for r in told}) == 1 + new
+        assert [r.version for r in samples if r.at_s > 8.0] == (
+            ["new" if new else ""] * sum(r.at_s > 8.0 for r in samples))
+        assert len({r.process for r in samples}) == 1 + new
     sent = {mark.what for mark in result.recording.marks if mark.target == "n1"}
     assert ("node_upgrade" in sent) == (way == "upgrade")
 
@@ -80,22 +81,22 @@
     changes = [Becomes(4.0, "n3", "late"), Becomes(4.0, "n1", "shakes")]
     versions = {"late": Version(later=0.5, leak_mb_min=6.0), "shakes": Version(connections={"age_s": 0.2})}
     result = simulate(scenario(), 3, mixture=Mixture(versions, changes))
-    told = rows(result.told)
-    pace = {n: (c := since(r, 6.0))["quarters"] / c["served"] for n, r in told.items()}
+    by_node = rows(result.told)
+    pace = {n: (c := since(r, 6.0))["quarters"] / c["served"] for n, r in by_node.items()}
     assert pace["n3"] > max(v for n, v in pace.items() if n != "n3") + 1.0
-    assert told["n3"][-1].gauges["memory_mb"] > told["n2"][-1].gauges["memory_mb"] + 1.0
-    shakes = {n: since(r, 6.0)["handshakes"] for n, r in told.items()}
-    assert shakes["n1"] > 3 * max(v for n, v in shakes.items() if n != "n1")
+    assert by_node["n3"][-1].gauges["memory_mb"] > by_node["n2"][-1].gauges["memory_mb"] + 1.0
+    handshakes = {n: since(r, 6.0)["handshakes"] for n, r in by_node.items()}
+    assert handshakes["n1"] > 3 * max(v for n, v in handshakes.items() if n != "n1")
 
 
 def test_a_version_that_sends_to_drained_servers_says_so_itself(tmp_path: Path) -> None:
-    deaf = planted(tmp_path, "        self.usable = entry.reachable and not self.drained\n",
-                   "        self.usable = entry.reachable\n")
+    ignoring = planted(tmp_path, "        self.usable = entry.reachable and not self.drained\n",
+                       "        self.usable = entry.reachable\n")
     drain = Fault(at_s=8.0, kind="drain", servers=2, linger_s=10.0, back_s=2.0)
-    result = simulate(scenario((drain,)), 4, mixture=Mixture({"new": deaf}, [Becomes(3.0, "n2", "new")]))
+    result = simulate(scenario((drain,)), 4, mixture=Mixture({"new": ignoring}, [Becomes(3.0, "n2", "new")]))
     broken = {n: r[-1].counts["broken"] for n, r in rows(result.told).items()}
     assert broken.pop("n2") > 0 and not any(broken.values())
-    assert sum(result.verdict.counts.values()) > 0  # as the audit finds
+    assert sum(result.verdict.counts.values()) > 0  # the audit finds it too
 
 
 @pytest.mark.parametrize(("mixture", "text"), [
--- a/tests/model/test_overbooked.py
+++ b/tests/model/test_overbooked.py
@@ -1,4 +1,4 @@
-"""Drains where discovery has more callers than it can answer, in simulated time: the real module, chain and plan."""
+"""Drains while discovery is overloaded with calls, in simulated time: the real decision module, watch and plan."""
 
 from __future__ import annotations
 
@@ -41,14 +41,15 @@
 def test_drains_are_kept_where_discovery_has_more_callers_than_it_can_answer(
     nodes: int, calls: int, seed: int
 ) -> None:
-    """Found by ``benchmarks.fleet``: 40 nodes, 20 calls a second, 36 of 60 servers drained; a node that heard nothing
-    for 10 s sent to drained servers.  With 100 nodes each gets an answer every 5 s at best, and what discovery knows
-    counts as told after 6."""
+    """Guards against a node that gets no answer for 10 s and sends to drained servers.
+
+    ``benchmarks.fleet`` found it with 40 nodes, 20 calls per second and 36 of 60 servers drained.  With 100 nodes
+    each gets an answer every 5 s at best, and the audit counts a drain as known 6 s after discovery learned of it."""
     result = run(nodes, calls, seed)
     assert not result.verdict.kinds, result.verdict.violations[:5]
     assert result.asked > 14 * calls, "discovery had more calls than it can answer"
 
 
 def test_without_peers_a_hundred_nodes_cannot_keep_them() -> None:
-    """What the test above rests on: asking alone does not do it, so its verdict is not discovery's kindness."""
+    """Checks the premise of the test above: without peers the answers of discovery do not suffice."""
     assert set(run(100, 20, 1, peers=False).verdict.kinds) == {"drain: sent after the grace"}
--- a/tests/model/test_references.py
+++ b/tests/model/test_references.py
@@ -1,4 +1,4 @@
-"""The two policies that versions are held against: what they pick, and that they keep the rules."""
+"""The two reference policies: which servers they choose, and that they keep the rules."""
 
 from __future__ import annotations
 
@@ -53,10 +53,10 @@
     p.handle(0, [full(4)])
     counts = Counter(id for i in range(600) for id in sends(p.handle(i, [arrival(i)])))
     assert counts[entry(0).backend] > 1.5 * counts[entry(1).backend] > 1.5 * counts[entry(2).backend] > 0
-    assert entry(3).backend not in counts, "it takes nothing"
+    assert entry(3).backend not in counts, "it accepts no requests"
     for id in waits:
         waits[id] = float("inf")
-    assert sends(p.handle(0, [arrival(601)])), "where none does, any will do"
+    assert sends(p.handle(0, [arrival(601)])), "if no server accepts requests, any may be chosen"
 
 
 def test_another_server_is_tried_only_where_that_is_allowed() -> None:
@@ -68,21 +68,21 @@
         return p.handle(1000, [AttemptEnded(f"r{i}", 0, first, outcome, 1000, False)])
 
     assert sends(after(1, "look", Outcome.RESET)) and sends(after(2, "crew", Outcome.FULL))
-    assert isinstance(after(3, "crew", Outcome.RESET)[0], Fail), "it may have run, and may not run twice"
+    assert isinstance(after(3, "crew", Outcome.RESET)[0], Fail), "it may have run, and must not run twice"
     assert "r3" not in p.requests
     p.handle(1000, [ClientGone("r1")])
     assert "r1" not in p.requests
     alone = Reference(settings(), 1)
     assert isinstance(alone.handle(0, [arrival(1)])[0], SetTimer)
-    assert isinstance(alone.handle(0, [arrival(2)])[0], Refuse), "there is nobody to send to"
+    assert isinstance(alone.handle(0, [arrival(2)])[0], Refuse), "there is no server to send to"
 
 
 def test_it_watches_discovery_and_asks_again_after_a_failure() -> None:
     p = Reference(settings(must_subscribe=True), 1)
     assert isinstance(p.handle(0, [full(2)])[0], SetTimer)
     assert p.handle(1, [TimerFired(1)]) == [Watch(True)]
-    again, = p.handle(2, [BackendList(ListKind.FAILED, 1, [])])
-    assert isinstance(again, SetTimer) and again.delay_us > 0
+    retry, = p.handle(2, [BackendList(ListKind.FAILED, 1, [])])
+    assert isinstance(retry, SetTimer) and retry.delay_us > 0
 
 
 CALM = """
@@ -108,8 +108,8 @@
     result = simulate(parse(CALM), 1, Tuning(policy=policy))
     assert result.verdict.clean, result.verdict.kinds
     assert result.service.whole > 0.6
-    again = simulate(parse(CALM), 1, Tuning(policy=policy))
-    assert again.digest() == result.digest() != simulate(parse(CALM), 1).digest()
+    second = simulate(parse(CALM), 1, Tuning(policy=policy))
+    assert second.digest() == result.digest() != simulate(parse(CALM), 1).digest()
 
 
 def test_seeing_late_is_worth_something_before_slow_servers() -> None:
@@ -118,7 +118,7 @@
 
 
 def test_a_policy_that_there_is_not_is_named() -> None:
-    with pytest.raises(TuningError, match="policy: 'best' is none of plain, late"):
+    with pytest.raises(TuningError, match="policy: 'best' is not one of plain, late"):
         simulate(parse(CALM), 1, Tuning(policy="best"))
 
 
--- a/tests/model/test_simulate.py
+++ b/tests/model/test_simulate.py
@@ -1,4 +1,4 @@
-"""Whole runs in simulated time: the rules, what is conserved, and that a seed is one run."""
+"""Whole runs in simulated time: the rules hold, work is conserved, and a seed gives one run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from headspar.decide import Balancer
 from headspar.interface import Action, Event, RequestArrived, Send
-from headspar.model.callers import Try
+from headspar.model.callers import ClientAttempt
 from headspar.model.costs import Costs
 from headspar.model.figures import HOLD_S, recovery_s
 from headspar.model.node import Node
@@ -43,23 +43,23 @@
 
 
 def conserved(r: Result) -> None:
-    """What was offered is served, refused, failed or gone, once; what was served a server has made."""
+    """Checks that each client attempt ends once, and that a server has completed each one that was served."""
     rec = r.recording
-    tries = Counter((a.call, a.attempt) for a in rec.asks)
-    assert set(tries.values()) <= {1}  # nothing is answered twice
+    attempts = Counter((a.call, a.attempt) for a in rec.asks)
+    assert set(attempts.values()) <= {1}  # nothing is answered twice
     assert {a.call for a in rec.asks} == set(range(len(rec.rules.calls)))
     assert not rec.missing
     sent = {(s.call, s.attempt) for s in rec.sent}
-    assert sent <= set(tries)
-    made = {(s.call, s.attempt) for s in rec.sent if s.fate in (Fate.DONE, Fate.REPEAT)}
+    assert sent <= set(attempts)
+    completed = {(s.call, s.attempt) for s in rec.sent if s.fate in (Fate.DONE, Fate.REPEAT)}
     served = {(a.call, a.attempt) for a in rec.asks if a.end is End.ANSWER and a.status == 200}
-    assert served <= made
+    assert served <= completed
     assert all(s.fate is not Fate.OPEN and s.ended_at >= s.arrived_at for s in rec.sent)
     assert all(a.ended_at >= a.sent_at for a in rec.asks)
 
 
-# What shows that a scenario's faults were met in the model too.
-MET: dict[str, Callable[[Result], bool]] = {
+# Evidence that the faults of a scenario occurred in the model too.
+EVIDENCE: dict[str, Callable[[Result], bool]] = {
     "blip": lambda r: fates(r)[Fate.DIED] > 0,
     "broken-answers": lambda r: fates(r)[Fate.DIED] + fates(r)[Fate.SPOILT] > 0,
     "deaths": lambda r: fates(r)[Fate.DIED] > 0 and len(r.recording.starts) == 2,
@@ -72,11 +72,11 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(MET))
+@pytest.mark.parametrize("name", sorted(EVIDENCE))
 def test_the_rules_hold_in_the_labs_scenarios(name: str) -> None:
     r = simulate(parse((FOLDER / f"{name}.toml").read_text()), 1)
     assert r.verdict.clean, (r.verdict.kinds, r.verdict.doubts)
-    assert MET[name](r), (fates(r), ends(r), marks(r))
+    assert EVIDENCE[name](r), (fates(r), ends(r), marks(r))
     conserved(r)
 
 
@@ -139,7 +139,7 @@
 def test_a_node_that_is_overloaded_is_slow() -> None:
     s = parse(SMALL)
     quick = simulate(s, 1)
-    slow = simulate(s, 1, costs=Costs(arrival=30_000.0))  # of some fifty requests a second
+    slow = simulate(s, 1, costs=Costs(arrival=30_000.0))  # for about fifty requests per second
     assert quick.service.whole > 0.95
     assert slow.service.whole < 0.5
     assert slow.verdict.doubts == []
@@ -149,7 +149,7 @@
     s = parse(SMALL)
     calm, r = simulate(s, 1), simulate(s, 1, costs=Costs(lost=0.2))
     assert r.verdict.clean and r.accepted > calm.accepted + 20
-    assert len(r.recording.asks) > len(calm.recording.asks)  # some were answered as failed, and asked again
+    assert len(r.recording.asks) > len(calm.recording.asks)  # some failed and were retried
 
 
 @pytest.mark.parametrize(("tuning", "text"), [
@@ -177,7 +177,7 @@
 
 
 def test_callers_that_leave_have_left_also_when_an_answer_crosses() -> None:
-    r = impatient(Costs(client_us=60_000))  # on the way for long enough that many do
+    r = impatient(Costs(client_us=60_000))  # delays long enough that answers often cross with the close
     assert ends(r)[End.LEFT] > 50 and fates(r)[Fate.CALLED_OFF] > 4
     conserved(r)
     calls = {a.call: a for a in r.recording.asks if a.attempt == 0}
@@ -188,10 +188,10 @@
 
 
 def test_a_close_comes_after_what_was_written_before_it() -> None:
-    r = impatient(Costs(server_us=60_000, server_spread=1.2))  # a later leg is often the shorter one
+    r = impatient(Costs(server_us=60_000, server_spread=1.2))  # a later message often has a shorter delay
     left = {(a.call, a.attempt): a.ended_at for a in r.recording.asks if a.end is End.LEFT}
     behind = [s for s in r.recording.sent if s.arrived_at > left.get((s.call, s.attempt), 1 << 60)]
-    # A repeat that is dropped takes a fifth of a millisecond, and may be answered before the close comes.
+    # A duplicate that the server drops takes 0.2 ms and may be answered before the close arrives.
     assert len(behind) > 10 and {s.fate for s in behind} <= {Fate.CALLED_OFF, Fate.TURNED_AWAY, Fate.REPEAT}
 
 
@@ -228,10 +228,10 @@
     assert {a.status for a in r.recording.asks} == {504} and not r.verdict.counts["lost"]
     monkeypatch.setattr("headspar.model.node.Balancer", Eager)
     r = simulate(parse(SMALL), 1)
-    assert r.verdict.kinds.get("duplicated: too many attempts", 0) == 0 and r.verdict.kinds  # it does send twice
+    assert r.verdict.kinds.get("duplicated: too many attempts", 0) == 0 and r.verdict.kinds  # it does send duplicates
 
 
-def believed_k(node: Node) -> float:
+def learned_k(node: Node) -> float:
     assert isinstance(node.balancer, Balancer)
     return node.balancer.capacity.k
 
@@ -239,15 +239,15 @@
 def test_a_successor_goes_on_from_what_was_believed_before_it() -> None:
     s = parse(SMALL + '[[faults]]\nat_s = 2\nkind = "node_upgrade"\nnodes = 2\n')
     run = _Run(s, 1, Tuning(), Costs(), None, 0)
-    doors = list(run.doors.values())
+    endpoints = list(run.endpoints.values())
     run.events.run(run.began_at + 2_000_000 + Costs().start_us - 1)
-    before: list[Node | None] = [door.process for door in doors]
-    believed = [believed_k(node) for node in before if node is not None]
+    before: list[Node | None] = [endpoint.process for endpoint in endpoints]
+    learned = [learned_k(node) for node in before if node is not None]
     run.events.run(run.began_at + 2_000_000 + Costs().start_us)
-    after = [door.process for door in doors]
+    after = [endpoint.process for endpoint in endpoints]
     assert all(a is not None and a is not b for a, b in zip(after, before, strict=True))
-    assert [believed_k(a) for a in after if a is not None] == pytest.approx(believed, rel=0.2)
-    assert min(believed) > 1000
+    assert [learned_k(a) for a in after if a is not None] == pytest.approx(learned, rel=0.2)
+    assert min(learned) > 1000
 
 
 def test_what_a_node_starts_with_ends_what_its_predecessor_was_told() -> None:
@@ -268,31 +268,32 @@
         return recovery_s(recording, msgspec.structs.replace(r.service, seconds=seconds))
 
     assert after([1, 1, 0.2, 0.3, 0.95, 0.95, 0.95]) == 2.0
-    assert after([1, 1, 0.2, 0.95, 0.3, 0.95, 0.95, 0.95]) == 3.0  # once is not enough
-    assert after([0.5, 0.5, 0.1, 0.46, 0.46, 0.46]) == 1.0  # against what it was before
+    assert after([1, 1, 0.2, 0.95, 0.3, 0.95, 0.95, 0.95]) == 3.0  # a single good second does not count
+    assert after([0.5, 0.5, 0.1, 0.46, 0.46, 0.46]) == 1.0  # relative to the service before the fault
     assert after([1, 1, 0.2, 0.2, 0.2, 0.2]) == 4.0 and HOLD_S == 3
     assert recovery_s(msgspec.structs.replace(r.recording, marks=[]), r.service) == 0.0
 
 
 def test_a_try_on_its_way_to_a_node_that_ends_just_then_goes_to_the_next() -> None:
-    """Found by a search over draws (roll, seed 5 of 60 nodes): sent 36 us before its node's end, it had no end of
-    its own."""
+    """Guards against a client attempt that is never ended because its process ends while it is in transit.
+
+    A search over draws found one (roll, seed 5, 60 nodes) that was sent 36 us before the end of its node."""
     calm = parse('name = "ends"\nlength_s = 2\n[nodes]\ncount = 2\n[[servers]]\ncount = 3\n[load]\nrps = 50\n')
     run = _Run(calm, 1, Tuning(), Costs(), None, 0)
-    door = next(d for d in run.doors.values() if d.process is not None)
-    ended: list[Try] = []
-    go = run.callers.go
-
-    def ends_under_way(t: Try) -> None:
-        go(t)
-        process = door.process
-        if not ended and t.held_by is door and process is not None and not process.requests:
+    endpoint = next(d for d in run.endpoints.values() if d.process is not None)
+    ended: list[ClientAttempt] = []
+    send = run.callers.send
+
+    def end_in_transit(t: ClientAttempt) -> None:
+        send(t)
+        process = endpoint.process
+        if not ended and t.endpoint is endpoint and process is not None and not process.requests:
             ended.append(t)
-            process.finish()
+            process.shut_down()
             assert not process.alive
 
-    run.callers.go = ends_under_way  # type: ignore[method-assign]
+    run.callers.send = end_in_transit  # type: ignore[method-assign]
     result = run.run()
     assert ended and ended[0].over and not result.recording.missing
     ask, = [a for a in result.recording.asks if a.call == ended[0].index]
-    assert ask.node != door.name and ask.status == 200
+    assert ask.node != endpoint.name and ask.status == 200
