--- a/tests/versions/forms.py
+++ b/tests/versions/forms.py
@@ -1,9 +1,9 @@
-"""Samples of all that one process writes and another, of another version maybe, reads; they lie in ``samples``.
+"""Writes samples of every data format that processes of different versions exchange; they are kept in ``samples``.
 
-    python -m tests.versions.forms tests/versions/samples    # one of each form that is not among them yet
+    python -m tests.versions.forms tests/versions/samples    # adds one of each format that has no sample yet
 
-A sample is what the program writes as it stands; it is never changed afterwards, as programs that wrote it are out
-there.  Only names that the first versions had are used, so that a checkout of an earlier one can write its own.
+A sample is the output of the program at the time.  It is never changed, because released versions write that format.
+The module uses only names that the first versions had, so that earlier checkouts can write their own samples.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def filled(kind: Any) -> Any:
-    """A value of a msgspec type with something in every field."""
+    """Returns a value of a msgspec type with all fields set."""
     return msgspec.convert(_raw(inspect.type_info(kind), 0), kind)
 
 
@@ -57,11 +57,11 @@
     return {"some": "thing"}
 
 
-# ---------------------------------------------------------------- what each form's writer writes
+# ---------------------------------------------------------------- writers of the formats
 
 
 def _module() -> tuple[Any, list[bytes]]:
-    """A decision module that has seen a little of everything that it hands over."""
+    """Returns a decision module that has learned some of everything that it hands over, and its peer messages."""
     from headspar.decide import Balancer
     from headspar.interface import (
         AttemptEnded,
@@ -80,7 +80,7 @@
     entries = [BackendEntry(f"10.0.0.{i}:80", "ab"[i % 2], "k", i, Health.READY, 1.0, 0) for i in range(4)]
     balancer = Balancer(Settings([RequestClass("look", 400_000, 2_000_000)], balancers=3, may_tell_peers=True,
                                  tenants=[Tenant("t1", 100.0, 1.0)]), 7)
-    now, said = NOW, []
+    now, messages = NOW, []
     balancer.handle(now, [BackendList(ListKind.FULL, 5, entries)])
     entries[3].health = Health.DRAINING
     balancer.handle(now, [BackendList(ListKind.FULL, 6, entries)])
@@ -91,8 +91,8 @@
             if isinstance(action, Send) and i < 290:
                 outcome = Outcome.ERROR if action.backend == entries[0].backend else Outcome.OK
                 actions += balancer.handle(now, [AttemptEnded(action.id, 0, action.backend, outcome, 50_000, True)])
-        said += [action.data for action in actions if isinstance(action, TellPeers)]
-    return balancer, [data for data in said if len(data) > 3]
+        messages += [action.data for action in actions if isinstance(action, TellPeers)]
+    return balancer, [data for data in messages if len(data) > 3]
 
 
 def datagram() -> str:
@@ -133,7 +133,7 @@
 
 
 def record() -> str:
-    """The whole database as SQL."""
+    """Returns the whole database as SQL."""
     from headspar.rollout.record import Record
     from headspar.rollout.state import Cause, Change, Command, State
     with tempfile.TemporaryDirectory() as folder:
@@ -187,11 +187,11 @@
 }
 
 
-# ---------------------------------------------------------------- when is a form another one?
+# ---------------------------------------------------------------- comparing formats
 
 
 def shape(text: str) -> Any:
-    """Names and kinds of values, whatever the values: two samples of one form have the same."""
+    """Returns the names and types of the values, which are equal for two samples of the same format."""
     out = []
     for line in text.splitlines():
         try:
@@ -226,7 +226,7 @@
         try:
             text = write()
         except ImportError:
-            continue  # an earlier version that has no such thing
+            continue  # an earlier version without this format
         path = to / name_of(form, text)
         if not path.exists():
             path.write_text(text)
--- a/tests/versions/readers.py
+++ b/tests/versions/readers.py
@@ -1,8 +1,8 @@
-"""Reads samples as this checkout's program reads them, and looks at what came of it.
+"""Reads samples with the program of this checkout and checks the result.
 
-    python -m tests.versions.readers FOLDER    # a line of JSON: what was wrong with each sample, or null
+    python -m tests.versions.readers FOLDER    # prints a line of JSON with the error of each sample, or null
 
-Each reader imports what it needs by itself: an earlier checkout has not all of it.
+Each reader imports what it needs itself, because an earlier checkout does not have all of it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def agrees(raw: Any, read: Any) -> bool:
-    """Whether what was read has each value of the sample that this version still knows."""
+    """Returns whether the decoded value agrees with the sample in all fields that this version still has."""
     if isinstance(raw, dict) and isinstance(read, dict):
         return all(agrees(raw[key], read[key]) for key in raw.keys() & read.keys())
     if isinstance(raw, list) and isinstance(read, list):
@@ -32,7 +32,7 @@
 
 
 def module(version: int = 5) -> Any:
-    """The decision module of the samples, which has heard of no drain yet."""
+    """Returns the decision module of the samples before it learns of a drain."""
     from headspar.decide import Balancer
     from headspar.interface import BackendEntry, BackendList, Health, ListKind, RequestClass, Settings, Tenant
     balancer = Balancer(Settings([RequestClass("look", 400_000, 2_000_000)], balancers=3, may_tell_peers=True,
@@ -49,10 +49,10 @@
     balancer.handle(NOW, [PeerMessage(0, data)])
     assert sum(x.peers for x in balancer.membership.backends.values()) > 0
     if not hasattr(balancer.peers, "spared"):
-        return  # a version that knew of no drains in it
+        return  # a version whose datagrams contain no drains
     assert not balancer.peers.spared
     balancer.handle(NOW, [PeerMessage(1, data)])
-    assert len(balancer.peers.spared) == 1 and len(balancer.picker.pool) == 3  # two newer lists call it out
+    assert len(balancer.peers.spared) == 1 and len(balancer.picker.pool) == 3  # two peers report it as out
 
 
 def read_beliefs(text: str) -> None:
@@ -73,13 +73,13 @@
 def read_handover(text: str) -> None:
     from headspar.handover import messages as h
     sockets = {"offer": 3, "clients": 2}
-    said = []
+    seen = []
     for line in text.splitlines():
         raw = json.loads(line)
         found = h.decode(line.encode(), sockets.get(raw["say"], 0))
-        said.append(raw["say"])
+        seen.append(raw["say"])
         assert all(getattr(found, f) == raw[f] for f in h.FIELDS[type(found)] if f in raw)
-    assert set(said) <= set(h.KINDS) and len(said) >= 6
+    assert set(seen) <= set(h.KINDS) and len(seen) >= 6
 
 
 def read_keeper_state(text: str) -> None:
@@ -95,8 +95,8 @@
     lines = text.splitlines()
     for line in lines:
         assert agrees(json.loads(line), msgspec.to_builtins(m.decode(line.encode())))
-    said = {json.loads(line)["say"] for line in lines}
-    assert said >= {"touch", "fetch", "try", "confirm", "hold", "back", "status"}
+    seen = {json.loads(line)["say"] for line in lines}
+    assert seen >= {"touch", "fetch", "try", "confirm", "hold", "back", "status"}
 
 
 def read_keeper_reply(text: str) -> None:
@@ -122,7 +122,7 @@
     assert record.moves(change.id)[0].after == "stage under way" and len(record.requests(change.id)) == 1
     if "INSERT INTO \"look\"" in text and hasattr(record, "looks"):
         assert record.before(change.id) and record.powers(change.id) and record.looks(change.id)[0].seen
-    # And it is written on as one of this version.
+    # This version can also write to it.
     epoch = record.acquire("c2", 1e9, 5.0)
     assert epoch is not None and epoch > 1
     number = record.intent(epoch, change.id, record.steps(change.id)[0].command, 2e9)
--- a/tests/versions/test_samples.py
+++ b/tests/versions/test_samples.py
@@ -1,4 +1,4 @@
-"""What earlier versions wrote is read, what later ones add is passed over, and what nobody wrote moves nothing."""
+"""Data of earlier versions is read, fields added by later versions are ignored, and invalid data has no effect."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("form", sorted(forms.FORMS))
 def test_what_this_version_writes_is_among_the_frozen_samples(form: str, tmp_path: Path) -> None:
-    """A form that has changed needs a sample of its own (``python -m tests.versions.forms``)."""
+    """A format that has changed needs a sample of its own (``python -m tests.versions.forms``)."""
     text = forms.FORMS[form]()
     assert forms.name_of(form, text) in [path.name for path in forms.samples(form)]
     read(form, text, tmp_path)
@@ -36,15 +36,15 @@
     read(path.name.rpartition("-")[0], path.read_text(), tmp_path)
 
 
-def with_more(value: Any, turn: Callable[[], bool]) -> Any:
-    """As a later version may write it: some objects have a field that nobody knows here."""
+def with_more(value: Any, choose: Callable[[], bool]) -> Any:
+    """Adds an unknown field to some objects, as a later version may do."""
     if isinstance(value, list):
-        return [with_more(v, turn) for v in value]
+        return [with_more(v, choose) for v in value]
     if not isinstance(value, dict):
         return value
-    more = {k: with_more(v, turn) for k, v in value.items()}
-    # Tables by name hold what names them, not fields.
-    return more | {"from_later": {"a": [1]}} if turn() and not TABLES & more.keys() else more
+    extended = {k: with_more(v, choose) for k, v in value.items()}
+    # Objects whose keys are names rather than fields stay as they are.
+    return extended | {"from_later": {"a": [1]}} if choose() and not TABLES & extended.keys() else extended
 
 
 # A key of each table whose keys are names of servers, classes, sites and the like.
@@ -56,26 +56,26 @@
 @given(form=st.sampled_from(JSON_FORMS), rolls=st.lists(st.booleans(), min_size=1, max_size=40))
 def test_what_a_later_version_adds_is_passed_over(form: str, rolls: list[bool]) -> None:
     for path in forms.samples(form):
-        turn = iter(rolls * 1000).__next__
+        choose = iter(rolls * 1000).__next__
         lines = path.read_text().splitlines()
         out = []
         for line in lines:
             try:
                 raw = json.loads(line)
             except ValueError:
-                continue  # the keeper's check sum, of what follows
-            out.append(json.dumps(with_more(raw, turn), separators=(",", ":")))
+                continue  # the keeper's checksum of the following line
+            out.append(json.dumps(with_more(raw, choose), separators=(",", ":")))
         text = "\n".join(out) + "\n"
         if form == "keeper_state":
             text = hashlib.sha256(out[0].encode()).hexdigest() + "\n" + text
         READ[form](text)
 
 
-# ---------------------------------------------------------------- what nobody wrote
+# ---------------------------------------------------------------- invalid data
 
 
-def steady(balancer: Balancer) -> list[str]:
-    """Where requests go: what a decision rests on, short of the draw."""
+def chosen_backends(balancer: Balancer) -> list[str]:
+    """Returns the backends to which a fixed sequence of requests is sent."""
     sent = []
     for i in range(30):
         actions = balancer.handle(NOW + 10_000 * i, [RequestArrived(f"q{i}", "look", NOW + 3_000_000, 20_000)])
@@ -92,7 +92,7 @@
     backends = list(balancer.membership.backends.values())
     assert len(balancer.picker.pool) == len(backends) - len(balancer.peers.spared)
     assert all(0 <= x.peers <= 2 * 255 * 4096 * 85 for x in backends)
-    assert len(steady(balancer)) >= 30 or not balancer.picker.pool
+    assert len(chosen_backends(balancer)) >= 30 or not balancer.picker.pool
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -103,11 +103,11 @@
     data = b"".join(known[i % 4] + b"\x07" for i in range(triples)) + version.to_bytes(2, "big") + b"\0"
     data += b"".join(known[i % 4] for i in range(tags)) + b"\x01" * odd
     if 0 < tags <= OUT_MOST and not odd:
-        return  # that is the present form
-    before = steady(module())
+        return  # this is the current format
+    before = chosen_backends(module())
     for peer in (0, 1):
         balancer.handle(NOW, [PeerMessage(peer, data[:256])] if len(data) <= 256 else [])
-    assert not balancer.peers.spared and not balancer.peers.heard and steady(balancer) == before
+    assert not balancer.peers.spared and not balancer.peers.heard and chosen_backends(balancer) == before
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -134,7 +134,7 @@
     assert len(found.left) <= b.MOST_LEFT
     balancer = module()
     balancer.handle(NOW, [Recalled(found.experience)])
-    assert len(steady(balancer)) >= 15
+    assert len(chosen_backends(balancer)) >= 15
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
