--- a/headspar/model/calibrate.py
+++ b/headspar/model/calibrate.py
@@ -106,8 +106,8 @@
     """Compares the figures of the same run in the lab and in the model: overall, in the worst 10 s and by class."""
     one, two = measure(lab), measure(model)
     rows = [Residual("whole", one.whole, two.whole), Residual("worst 10 s", one.worst_10_s, two.worst_10_s),
-            Residual("tries a first try", one.amplification, two.amplification),
-            Residual("attempts a first try", len(lab.sent) / max(1, one.first_tries),
+            Residual("client attempts per call", one.amplification, two.amplification),
+            Residual("attempts per call", len(lab.sent) / max(1, one.first_tries),
                      len(model.sent) / max(1, two.first_tries))]
     for i, spec in enumerate(lab.rules.classes):
         rows.append(Residual(f"{spec.name} service", one.by_class.get(spec.name, 0.0),
@@ -130,7 +130,7 @@
     level: float
     runs: int
 
-    def contains(self, value: float) -> bool:
+    def holds(self, value: float) -> bool:
         return self.low <= value <= self.high
 
 
--- a/headspar/model/callers.py
+++ b/headspar/model/callers.py
@@ -1,4 +1,4 @@
-"""Callers and the front-end load balancer in simulated time: planned arrivals, client retries, choice of the node."""
+"""Callers and the front-end load balancer ("front") in simulated time: arrivals, client retries, choice of a node."""
 
 from __future__ import annotations
 
@@ -152,7 +152,8 @@
         if t.endpoint is not None:
             t.endpoint.open.pop(t, None)
         self.finished_attempts.append(
-            Ask(t.index, t.number, node, t.planned_at, t.sent_at, t.call.budget_us, at, end, status, True, retry_after_us))
+            Ask(t.index, t.number, node, t.planned_at, t.sent_at, t.call.budget_us, at, end, status, True,
+                retry_after_us))
         served = end is End.ANSWER and status == 200
         if not served and end is not End.LEFT and t.number < self.scenario.callers.retries:
             pause = retry_pause(self.scenario.callers, t.call, t.number, retry_after_us)
--- a/headspar/model/cli.py
+++ b/headspar/model/cli.py
@@ -171,10 +171,10 @@
     columns = (TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total} runs"),
                TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True)) as progress:
-        shown = progress.add_task("looking", total=None)
+        task_id = progress.add_task("looking", total=None)
 
         def report(done: int, all_: int, what: str) -> None:
-            progress.update(shown, completed=done, total=all_, description=what)
+            progress.update(task_id, completed=done, total=all_, description=what)
 
         found = Comparing(versions[0], versions[1], s, store, costs=run_costs, looks=planned, margin=margin,
                           budget_s=budget_s, first_seed=first_seed, workers=workers, independent=independent,
@@ -247,23 +247,23 @@
                   TimeRemainingColumn(), console=console) as progress:
         found: dict[str, list[Draw]] = {}
         for policy in ("", *(NAMES if references else ())):
-            shown = progress.add_task("drawing", total=len(names) * len(range_))
+            task_id = progress.add_task("drawing", total=len(names) * len(range_))
 
-            def report(done: int, _: int, what: str, at: TaskID = shown, policy: str = policy) -> None:
+            def report(done: int, _: int, what: str, at: TaskID = task_id, policy: str = policy) -> None:
                 progress.update(at, completed=done, description=f"{what} {policy}")
 
             found[policy] = search(runs, names, range_, nodes, report, policy)
     draws = found[""]
     figures = by_day(draws)
-    beside = {policy: {f.day: f.served[1] for f in by_day(found[policy])} for policy in found if policy}
+    baselines = {policy: {f.day: f.served[1] for f in by_day(found[policy])} for policy in found if policy}
     rows = Table(title=f"{len(draws)} draws of {nodes} nodes, {runs.executed} of them run now", title_justify="left")
-    columns = ("day", "draws", "failed", "served: min", "mean", "max", *(f"{policy}, mean" for policy in beside),
+    columns = ("day", "draws", "failed", "served: min", "mean", "max", *(f"{policy}, mean" for policy in baselines),
                "worst seeds", "s per draw", "rules broken")
     for name in columns:
         rows.add_column(name, justify="left" if name in ("day", "worst seeds", "rules broken") else "right")
     for f in figures:
         rows.add_row(f.day, str(f.draws), str(len(f.failed)), *(f"{x:.3f}" for x in f.served),
-                     *(f"{means[f.day]:.3f}" if f.day in means else "" for means in beside.values()),
+                     *(f"{means[f.day]:.3f}" if f.day in means else "" for means in baselines.values()),
                      " ".join(map(str, f.worst)), f"{f.seconds:.0f}",
                      "; ".join(f"{kind} in {count}" for kind, count in f.broken.items()),
                      style="red" if f.failed else "")
@@ -272,7 +272,7 @@
     for d in failing[:10]:
         console.print(f"[red]{d.day}, seed {d.seed}: {d.text}")
     _write(json_to, json.dumps({"nodes": nodes, "draws": len(draws), "failed": len(failing),
-                                "days": msgspec.to_builtins(figures), "references": beside}).encode())
+                                "days": msgspec.to_builtins(figures), "references": baselines}).encode())
     if runs.stop.is_set():
         raise typer.Exit(130)
     if failing and shrink:
--- a/headspar/model/kept.py
+++ b/headspar/model/kept.py
@@ -10,6 +10,7 @@
 
 LYING = "lying"  # a snapshot whose figures are inverted
 OTHER = "other"  # the snapshot of the next node
+# Seconds by which a snapshot appears older than it is.
 AGES = {"fresh": 0.0, "10 min": 600.0, "1 h": 3600.0, "1 day": 86_400.0}
 MODES = (*AGES, OTHER, LYING)
 
--- a/headspar/model/node.py
+++ b/headspar/model/node.py
@@ -109,7 +109,7 @@
         self.plan = Plan(plan_settings(table, settings, max_connections), settings.me)
         self.reach = Reach(Subset(subset_settings(table, settings, max_connections)))
         self.watcher: Watcher
-        self.repeatable = {c.name for c in settings.classes if c.effect.value == "retryable"}
+        self.retryable = {c.name for c in settings.classes if c.effect.value == "retryable"}
         self.hosts: dict[str, Host] = {}
         self.warming: set[str] = set()
         self.connections: dict[int, Connection] = {}
@@ -222,7 +222,7 @@
         key = str(self.serial)
         cls = t.names.classes[call.cls]
         now = self.events.now
-        r = Request(key, t, cls, now + budget_us, self.settings.max_attempts, cls not in self.repeatable)
+        r = Request(key, t, cls, now + budget_us, self.settings.max_attempts, cls not in self.retryable)
         self.requests[key] = r
         r.timer = self.events.at(r.deadline, self._deadline, r)
         self.pending_events.append(RequestArrived(key, cls, r.deadline, call.hint_us or None, call.target,
--- a/headspar/model/simulate.py
+++ b/headspar/model/simulate.py
@@ -97,6 +97,8 @@
 
 
 class _Run:
+    """One run: the servers, nodes, discovery and callers on one event queue."""
+
     def __init__(self, scenario: Scenario, seed: int, tuning: Tuning, costs: Costs, plan: Plan | None,
                  noise: int, mixture: Mixture | None = None) -> None:
         self.s, self.seed, self.costs, self.noise = scenario, seed, costs, noise
