--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,7 +1,7 @@
-"""``python -m benchmarks.lab [--json]``: whether the lab itself carries the load that it is there to measure.
+"""``python -m benchmarks.lab [--json]``: whether the lab itself sustains the load that it is meant to measure.
 
-Four nodes before twelve servers at 2,400 requests a second for 30 s, work scaled so that the servers stand at
-about half of their capacity; nothing fails, so all that is lost or duplicated is the nodes' or the lab's doing.
+Four nodes before twelve servers at 2,400 requests a second for 30 s, with work scaled so that the servers run at
+about half of their capacity.  No faults are injected, so every loss or duplicate is caused by the nodes or the lab.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
         result = run_scenario(s, args.seed, Path(dir), progress(s.name, s.length_s))
     print(file=sys.stderr)
     v, r = result.verdict, result.recording
-    firsts = [a for a in r.asks if a.attempt == 0]
-    span = (max(a.planned_at for a in firsts) - min(a.planned_at for a in firsts)) / 1e6
+    first_attempts = [a for a in r.asks if a.attempt == 0]
+    span = (max(a.planned_at for a in first_attempts) - min(a.planned_at for a in first_attempts)) / 1e6
     figures = {
-        "offered_rps": round(len(firsts) / span, 1),
+        "offered_rps": round(len(first_attempts) / span, 1),
         "lateness_p50_ms": max(x.p50 for x in r.lateness if x.part.startswith("callers")) / 1000,
         "lateness_p99_ms": max(x.p99 for x in r.lateness if x.part.startswith("callers")) / 1000,
         "lateness_most_ms": max(x.most for x in r.lateness if x.part.startswith("callers")) / 1000,
--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -1,7 +1,7 @@
-"""``python -m benchmarks.node_cpu [--json]``: CPU a request of the node beside a bare relay.
+"""``python -m benchmarks.node_cpu [--json]``: CPU time per request of the node, next to a bare relay.
 
-Both stand before the same instant servers on the same loop and parser and get the same stream, in turns within
-one run: what a request costs beyond the relay is the price of rules and decisions.  Medians over the turns.
+Both run before the same instant servers on the same event loop and parser and get the same stream of requests, in
+turns within one run.  What a request costs beyond the relay is the cost of rules and decisions.  Medians over turns.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 
 async def measure(dir: Path, servers: int, rps: float, turns: int, seconds: float) -> dict[str, object]:
+    """CPU times in µs per request, and their ratio."""
     rig = Rig(dir, servers)
     await rig.start()
     try:
@@ -28,7 +29,7 @@
         return {
             "node_us": round(node, 1), "relay_us": round(relay, 1), "ratio": round(node / relay, 3),
             "ratio_least": round(min(ratios), 3), "ratio_most": round(max(ratios), 3), "servers": servers,
-            "rps": rps, "served": stream.served, "not_served": stream.other + stream.lost,
+            "rps": rps, "served": stream.served, "not_served": stream.other + stream.closed,
         }
     finally:
         await rig.close()
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,17 +1,17 @@
-"""``python -m benchmarks.operations [--json]``: what day-to-day work on a node costs its clients.
-
-*Upgrades*: ten in a row under 400 requests a second. ``upgrade_turned_back``: connections that ended at clients;
-``upgrade_lost``: requests with no answer; ``upgrade_peak_fds`` and ``upgrade_peak_mb`` (proportional set size):
-both processes together, sampled every 10 ms, beside ``fds_limit`` and ``mb_limit``. *Drain*:
-``drain_last_idle_closed_ms`` after the call, ``drain_lost`` requests under 400 a second that got no answer though
-they were sent before their connection ended. *Calls*: ``ops_answer_ms_p99`` and ``_max`` under 2,400 requests a
-second with 200 callers that hold half a call; ``figures_worst_error_pct`` of ``success``, beyond what was under
-way as they were asked for. *Reloads*: ten a second for 5 s, ``reload_apply_ms_p99`` from the signal to the figure,
-``reload_lost`` requests.
-
-*Beliefs*: a lab run of two nodes at 85% of what the servers carry, two of them slow, both nodes upgraded at 8 s:
-``first_5s_served_share_with_beliefs`` and ``…_without``, of first tries that came in the 5 s after; medians of
-seeds.
+"""``python -m benchmarks.operations [--json]``: what routine operations on a node cost its clients.
+
+*Upgrades*: ten in a row under 400 requests a second. ``upgrade_turned_back``: client connections that were closed;
+``upgrade_lost``: requests with no response; ``upgrade_peak_fds`` and ``upgrade_peak_mb`` (proportional set size):
+both processes together, sampled every 10 ms, with ``fds_limit`` and ``mb_limit``. *Drain*:
+``drain_last_idle_closed_ms`` after the call, ``drain_lost`` requests under 400 a second that got no response although
+they were sent before their connection was closed. *Calls*: ``ops_answer_ms_p99`` and ``_max`` under 2,400 requests a
+second with 200 clients that each hold half a request open; ``figures_worst_error_pct`` of ``success``, beyond what
+was in progress when the figures were requested. *Reloads*: ten a second for 5 s, ``reload_apply_ms_p99`` from the
+signal until the figure shows it, ``reload_lost`` requests.
+
+*Learned state*: a lab run of two nodes at 85% of the servers' capacity, with two slow servers and both nodes upgraded
+at 8 s: ``first_5s_served_share_with_beliefs`` (learned state handed over) and ``…_without``, of the first attempts in
+the 5 s after the upgrade; medians over seeds.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 from headspar.world.scenario import parse
 
 SOCKETS = 384
-UPGRADES, UPGRADE_RPS, HOLDERS, CALLS_RPS = 10, 400.0, 200, 2400.0
-BELIEFS = '''
+UPGRADES, UPGRADE_RPS, SLOW_CLIENTS, CALLS_RPS = 10, 400.0, 200, 2400.0
+LEARNED_STATE = '''
 name = "beliefs"
 length_s = 14
 [nodes]
@@ -62,19 +62,20 @@
 
 
 def files_and_mb(pids: list[int]) -> tuple[int, float]:
-    """Descriptors and proportional set size of these processes together."""
+    """Descriptors and proportional set size (MiB) of these processes together."""
     files, kb = 0, 0
     for pid in pids:
         try:
             files += len(os.listdir(f"/proc/{pid}/fd"))
             rollup = Path(f"/proc/{pid}/smaps_rollup").read_text()
         except OSError:
-            continue  # it has ended
+            continue  # the process has exited
         kb += next(int(line.split()[1]) for line in rollup.splitlines() if line.startswith("Pss:"))
     return files, kb / 1024
 
 
 def quantile(values: list[float], share: float) -> float:
+    """The value below which about *share* (0 to 1) of the values lie."""
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
@@ -82,19 +83,20 @@
     await stream.run(rps, seconds)
 
 
-def lost(stream: Stream) -> int:
-    """Requests that were sent and have no answer; asked for when none is under way."""
+def unanswered(stream: Stream) -> int:
+    """Requests sent without a response; valid only when no request is in progress."""
     return stream.sent - stream.served - stream.other
 
 
 async def upgrades(rig: Rig, node: NodeProcess, stream: Stream) -> dict[str, Any]:
+    """Upgrades the node ``UPGRADES`` times under load; raises ``RuntimeError`` if a new process is not ready."""
     pids: list[int] = []
-    most = [0, 0.0]
+    peak = [0, 0.0]
 
     async def sample() -> None:
         while True:
             files, mb = files_and_mb(pids)
-            most[:] = [max(most[0], files), max(most[1], mb)]
+            peak[:] = [max(peak[0], files), max(peak[1], mb)]
             await asyncio.sleep(0.01)
 
     assert node.process is not None
@@ -104,58 +106,59 @@
     for i in range(UPGRADES):
         print(f"\rupgrade {i + 1} of {UPGRADES}", end="", file=sys.stderr)
         await asyncio.sleep(0.4)
-        first = await node.beside(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
+        old_process = await node.beside(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
         pids.append(node.process.pid)
         if not await node.says_yes(20):
-            raise RuntimeError("a second process does not get ready")
-        node.end_first(first)
-        await first.wait()
-        pids.remove(first.pid)
+            raise RuntimeError("the new process did not become ready within 20 s")
+        node.end_first(old_process)
+        await old_process.wait()
+        pids.remove(old_process.pid)
     await running
     sampling.cancel()
     print(file=sys.stderr)
     return {
-        "upgrades": UPGRADES, "upgrade_turned_back": stream.lost, "upgrade_lost": lost(stream),
-        "upgrade_refused": stream.other, "upgrade_peak_fds": most[0], "fds_limit": SOCKETS,
-        "upgrade_peak_mb": round(most[1], 1), "mb_limit": 192,
+        "upgrades": UPGRADES, "upgrade_turned_back": stream.closed, "upgrade_lost": unanswered(stream),
+        "upgrade_refused": stream.other, "upgrade_peak_fds": peak[0], "fds_limit": SOCKETS,
+        "upgrade_peak_mb": round(peak[1], 1), "mb_limit": 192,
     }
 
 
-async def calls(node: NodeProcess, stream: Stream) -> dict[str, Any]:
-    """Answers' times and figures' truth under load, beside callers who hold half a call."""
-    held = []
+async def operations_calls(node: NodeProcess, stream: Stream) -> dict[str, Any]:
+    """Response times of the operations port and accuracy of its figures under load, while clients hold half-sent
+    requests open."""
+    held_writers = []
 
     async def hold() -> None:
         while True:
-            for _ in range(HOLDERS):
+            for _ in range(SLOW_CLIENTS):
                 try:
                     _, writer = await asyncio.open_connection(*node.ops)
                 except OSError:
                     continue
                 writer.write(b"GET /stats HTTP/1.1\r\nHo")
-                held.append(writer)
+                held_writers.append(writer)
             await asyncio.sleep(4)
-            for writer in held:
+            for writer in held_writers:
                 writer.close()
-            held.clear()
+            held_writers.clear()
 
     before = (await node.call("/stats"))[1]["replies"]
-    zero = sum(row["success"] for row in before.values()) - stream.served
+    offset = sum(row["success"] for row in before.values()) - stream.served
     holding = asyncio.create_task(hold())
     running = asyncio.create_task(load(stream, CALLS_RPS, 8.0))
     times, worst = [], 0.0
     while not running.done():
-        served, begun = stream.served, time.perf_counter()
+        served, started = stream.served, time.perf_counter()
         status, figures = await node.call("/stats")
-        times.append((time.perf_counter() - begun) * 1000)
+        times.append((time.perf_counter() - started) * 1000)
         if status != 200:
-            raise RuntimeError(f"figures are answered {status}")
-        said = sum(row["success"] for row in figures["replies"].values()) - zero
-        beyond = max(0, served - said, said - (stream.served + len(stream.idle) + figures["concurrent"]))
-        worst = max(worst, 100 * beyond / max(100, served))
+            raise RuntimeError(f"GET /stats was answered with {status}")
+        reported = sum(row["success"] for row in figures["replies"].values()) - offset
+        error = max(0, served - reported, reported - (stream.served + len(stream.idle) + figures["concurrent"]))
+        worst = max(worst, 100 * error / max(100, served))
         await asyncio.sleep(0.02)
     holding.cancel()
-    for writer in held:
+    for writer in held_writers:
         writer.close()
     return {
         "ops_answer_ms_p99": round(quantile(times, 0.99), 2), "ops_answer_ms_max": round(max(times), 2),
@@ -164,67 +167,71 @@
 
 
 async def reloads(node: NodeProcess, stream: Stream) -> dict[str, Any]:
-    before, applied = lost(stream), []
+    """Reloads the settings 50 times under load; raises ``RuntimeError`` if one is not applied within 5 s."""
+    before, applied = unanswered(stream), []
     running = asyncio.create_task(load(stream, UPGRADE_RPS, 6.0))
     for i in range(50):
         done = (await node.call("/stats"))[1]["reload_success"]
         node.config["settings"]["policy_limits"]["try_limit"] = 3 + i % 3
         address = node.config["discovery"].rpartition(":")
         node.configure((address[0], int(address[2])))
-        begun = time.perf_counter()
+        started = time.perf_counter()
         node.signal(signal.SIGHUP, "node_hup")
         while (await node.call("/stats"))[1]["reload_success"] == done:
-            if time.perf_counter() - begun > 5:
-                raise RuntimeError("a reload is not taken")
-        applied.append((time.perf_counter() - begun) * 1000)
+            if time.perf_counter() - started > 5:
+                raise RuntimeError("reload not applied within 5 s")
+        applied.append((time.perf_counter() - started) * 1000)
         await asyncio.sleep(max(0.0, 0.1 - applied[-1] / 1000))
     await running
-    return {"reload_apply_ms_p99": round(quantile(applied, 0.99), 2), "reload_lost": lost(stream) - before}
+    return {"reload_apply_ms_p99": round(quantile(applied, 0.99), 2), "reload_lost": unanswered(stream) - before}
 
 
 async def drain(node: NodeProcess, stream: Stream) -> dict[str, Any]:
+    """Drains the node under load and waits up to 10 s for its client connections to close."""
     await stream.run(UPGRADE_RPS, 1.0)
-    before, ended, had = lost(stream), stream.lost, len(stream.callers)
+    before, closed_before, connections = unanswered(stream), stream.closed, len(stream.callers)
     running = asyncio.create_task(load(stream, UPGRADE_RPS, 0.5))
     await asyncio.sleep(0.2)
-    begun = time.perf_counter()
+    started = time.perf_counter()
     await node.call("/healthcheck/fail", "POST")
     await running
-    while stream.callers and time.perf_counter() - begun < 10:
+    while stream.callers and time.perf_counter() - started < 10:
         await asyncio.sleep(0.005)
-    took = (time.perf_counter() - begun) * 1000
+    took = (time.perf_counter() - started) * 1000
     await node.call("/healthcheck/ok", "POST")
     return {
-        "drain_connections": had, "drain_closed": stream.lost - ended,
-        "drain_last_idle_closed_ms": round(took, 1), "drain_lost": lost(stream) - before,
+        "drain_connections": connections, "drain_closed": stream.closed - closed_before,
+        "drain_last_idle_closed_ms": round(took, 1), "drain_lost": unanswered(stream) - before,
     }
 
 
-async def on_sockets(dir: Path) -> dict[str, Any]:
+async def measure_node(dir: Path) -> dict[str, Any]:
+    """All figures of one real node: upgrades, operations calls, reloads and the drain."""
     rig = Rig(dir, 3)
     await rig.start()
     try:
         await rig.add("node", sockets=SOCKETS)
         node, stream = rig.targets["node"], rig.streams["node"]
         figures = await upgrades(rig, node, stream)
-        figures |= await calls(node, stream)
+        figures |= await operations_calls(node, stream)
         figures |= await reloads(node, stream)
         return figures | await drain(node, stream)
     finally:
         await rig.close()
 
 
-def first_5s(dir: Path, seed: int, beliefs: bool) -> float:
-    """The share of first tries in the 5 s after the upgrade that were served."""
+def share_after_upgrade(dir: Path, seed: int, hand_over: bool) -> float:
+    """The share of first attempts in the 5 s after the upgrade that were served."""
     operator = dir / "operator.toml"
     dir.mkdir()
-    operator.write_text(f"[handover]\nbeliefs = {json.dumps(beliefs)}\n")
-    show = progress(f"beliefs {beliefs}, seed {seed}", 14)
-    result = run_scenario(parse(BELIEFS), seed, dir, show, operator=operator)
-    during = result.recording.rules.began_at + 12_000_000  # later ones end the run
-    yes = max(m.at for m in result.recording.marks if m.what == "node_term" and m.at < during)
-    asked = [a for a in result.recording.asks if a.attempt == 0 and yes <= a.sent_at < yes + 5_000_000]
-    return sum(a.end is End.ANSWER and a.status == 200 for a in asked) / max(1, len(asked))
+    operator.write_text(f"[handover]\nbeliefs = {json.dumps(hand_over)}\n")
+    show = progress(f"learned state {hand_over}, seed {seed}", 14)
+    result = run_scenario(parse(LEARNED_STATE), seed, dir, show, operator=operator)
+    during = result.recording.rules.began_at + 12_000_000  # later SIGTERMs end the run
+    upgraded_at = max(m.at for m in result.recording.marks if m.what == "node_term" and m.at < during)
+    attempts = [a for a in result.recording.asks
+                if a.attempt == 0 and upgraded_at <= a.sent_at < upgraded_at + 5_000_000]
+    return sum(a.end is End.ANSWER and a.status == 200 for a in attempts) / max(1, len(attempts))
 
 
 def main() -> int:
@@ -234,10 +241,11 @@
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as name:
         dir = Path(name)
-        figures = uvloop.run(on_sockets(dir))
-        for beliefs in (True, False):
-            shares = [first_5s(dir / f"{beliefs}-{seed}", seed, beliefs) for seed in range(1, args.seeds + 1)]
-            field = "first_5s_served_share_" + ("with_beliefs" if beliefs else "without")
+        figures = uvloop.run(measure_node(dir))
+        for hand_over in (True, False):
+            shares = [share_after_upgrade(dir / f"{hand_over}-{seed}", seed, hand_over)
+                      for seed in range(1, args.seeds + 1)]
+            field = "first_5s_served_share_" + ("with_beliefs" if hand_over else "without")
             figures[field] = round(statistics.median(shares), 4)
     print(file=sys.stderr)
     write_line(figures, args.json)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,7 +1,7 @@
-"""What measurements of one process share: instant servers, discovery, and a steady stream of requests.
+"""What benchmarks of a single process share: instant servers, discovery, and a steady stream of requests.
 
-The servers answer at once and cost next to nothing, so that what is measured is the process in between.  CPU is
-the process's own, from the scheduler's count in nanoseconds.
+The servers answer at once at next to no cost, so that the process in between is what is measured.  CPU time is that
+process's own, from the scheduler's count in nanoseconds.
 """
 
 from __future__ import annotations
@@ -59,13 +59,13 @@
 
 
 def node_settings() -> dict[str, Any]:
-    """A node's settings: two classes, one node, one agent that is never over its share."""
+    """A node's settings: two classes, one node, one agent that never exceeds its quota."""
     s = parse(SCENARIO)
     return settings(s, draw(s, 1), 0)
 
 
-class Instant(asyncio.Protocol):
-    """A server's connection: an answer for each request, which comes in one piece or ends with its body."""
+class InstantServer(asyncio.Protocol):
+    """A server's connection: responds to each request once its head and body are complete."""
 
     accepted = 0
 
@@ -73,7 +73,7 @@
         self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        Instant.accepted += 1
+        InstantServer.accepted += 1
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
@@ -91,30 +91,31 @@
         self.buffer = data
 
 
-async def servers(parent: Parent) -> None:
-    """The child: so many listeners; it says where, and on command how many connections it has accepted."""
+async def run_servers(parent: Parent) -> None:
+    """The child process: opens ``count`` listeners, reports their addresses, and counts connections on command."""
     loop = asyncio.get_running_loop()
     hosts = Hosts()
     addresses = []
     for _ in range(parent.task["count"]):
-        server = await loop.create_server(Instant, hosts.next(), 0, backlog=256)
+        server = await loop.create_server(InstantServer, hosts.next(), 0, backlog=256)
         host, port = server.sockets[0].getsockname()[:2]
         addresses.append(f"{host}:{port}")
     parent.say("ready", addresses=addresses)
 
     async def count(command: dict[str, Any]) -> None:
-        parent.say("accepted", count=Instant.accepted)
+        parent.say("accepted", count=InstantServer.accepted)
 
     await parent.commands(count)
 
 
-def rows(addresses: list[str]) -> list[dict[str, Any]]:
+def instance_rows(addresses: list[str]) -> list[dict[str, Any]]:
+    """Rows of the instance list for servers at *addresses*."""
     return [{"instanceId": f"s-{i:04d}", "hostPort": a, "zone": "a", "machineType": "m", "cell": 0,
              "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0} for i, a in enumerate(addresses)]
 
 
 class Discovery(asyncio.Protocol):
-    """Holds every watch for as long as it asks for, and has no news."""
+    """Answers each watch after its own time-out, with no update."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -158,31 +159,33 @@
 
 
 class Stream:
-    """Requests at a steady mean rate with exponential gaps, whatever the answers do."""
+    """Open-loop requests at a steady mean rate with exponential gaps, independent of the responses."""
 
     def __init__(self, address: Address, seed: int) -> None:
         self.address = address
         self.rng = random.Random(seed)
         self.idle: list[Caller] = []
         self.callers: set[Caller] = set()
-        self.served = self.other = self.sent = self.lost = self.serial = 0
+        self.served = self.other = self.sent = self.closed = self.serial = 0
         self.latencies: list[int] = []
 
     def answered(self, caller: Caller, good: bool, last: bool) -> None:
+        """Counts a response: ``good`` if its status is 200, ``last`` if its connection will be closed."""
         self.served += good
         self.other += not good
         self.latencies.append(now_us() - caller.sent_at)
-        if not last:  # else the node closes it
+        if not last:  # otherwise the node closes the connection
             self.idle.append(caller)
 
     def ended(self, caller: Caller) -> None:
-        """The node has ended a connection."""
-        self.lost += 1
+        """Counts a connection that the node has closed."""
+        self.closed += 1
         self.callers.discard(caller)
         if caller in self.idle:
             self.idle.remove(caller)
 
     async def send(self) -> None:
+        """Sends one request, alternating between the classes, on an idle connection if there is one."""
         if self.idle:
             caller = self.idle.pop()
         else:
@@ -202,7 +205,7 @@
             )
 
     async def run(self, rps: float, seconds: float) -> int:
-        """How many were answered with 200 in so many seconds."""
+        """Sends at *rps* for *seconds*; returns how many requests were answered with 200."""
         before, end, due = self.served, now_us() + int(seconds * 1e6), now_us()
         while due < end:
             now = now_us()
@@ -216,20 +219,20 @@
 
 
 def cpu_us(pid: int) -> float:
-    """CPU that a process has used, by the scheduler's count (nanoseconds in its first field)."""
+    """CPU time that a process has used, in µs, from ``schedstat`` (nanoseconds in its first field)."""
     return sum(
         int((path / "schedstat").read_text().split()[0]) for path in Path(f"/proc/{pid}/task").iterdir()
     ) / 1000
 
 
-def earlier(checkout: Path) -> list[str]:
+def node_command(checkout: Path) -> list[str]:
     """The command that starts the node of another checkout, with this one's interpreter."""
     return ["env", "-C", str(checkout.resolve()), f"PYTHONPATH={checkout.resolve()}", sys.executable,
             "-m", "headspar"]
 
 
 class Rig:
-    """Instant servers, discovery and any number of processes before them, each named."""
+    """Instant servers, discovery and any number of named processes before them."""
 
     def __init__(self, dir: Path, servers: int) -> None:
         self.dir, self.count = dir, servers
@@ -237,32 +240,33 @@
         self.targets: dict[str, NodeProcess] = {}
         self.streams: dict[str, Stream] = {}
         self.addresses: list[str] = []
-        self.made: dict[str, int] = {}  # connections to servers in the turns, by target
+        self.handshakes: dict[str, int] = {}  # connections to servers during the turns, by target
         self.served: dict[str, int] = {}
 
     async def start(self) -> None:
+        """Starts the servers, in a child process, and discovery."""
         loop = asyncio.get_running_loop()
         self.child = await Child.start("servers", "benchmarks.rig", {"count": self.count}, self.dir / "servers.log")
         self.addresses = (await self.child.expect("ready", 30))["addresses"]
         self.discovery = await loop.create_server(Discovery, self.hosts.next(), 0)
 
     async def add(self, name: str, command: list[str] | None = None, *, sockets: int = 1024) -> None:
-        """Start a node, or what stands in its place, and warm it up."""
+        """Starts a node, or *command* in its place, with up to *sockets* descriptors, and waits until it is ready."""
         config = {"name": name, "seed": "5eed", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
                   "settings": node_settings()}
         node = NodeProcess(name, config, free_address(self.hosts.next()), self.dir)
         if command is not None:
             node.command = command
-        known = {"generation": 1, "reset": True, "instances": rows(self.addresses)}
+        known = {"generation": 1, "reset": True, "instances": instance_rows(self.addresses)}
         address = self.discovery.sockets[0].getsockname()[:2]
         await node.start(known, address)
         if not await node.ready(20):
-            raise RuntimeError(f"{name} does not get ready: {node.log.read_text()[-300:]}")
+            raise RuntimeError(f"{name} did not become ready within 20 s: {node.log.read_text()[-300:]}")
         self.targets[name] = node
         self.streams[name] = Stream(node.listen, 1)
 
     async def segment(self, name: str, rps: float, seconds: float) -> float:
-        """CPU of a target for each request served, in microseconds."""
+        """CPU time of a target per request served, in microseconds."""
         process = self.targets[name].process
         assert process is not None
         before = cpu_us(process.pid)
@@ -272,33 +276,34 @@
     async def beside_relay(
         self, rps: float, turns: int, seconds: float, *, sockets: int = 1024, before: Path | None = None
     ) -> dict[str, list[float]]:
-        """A bare relay and a node, started and warmed up, then in turns: CPU a request of each, by turn.
-        ``before``: a checkout of an earlier state, whose node takes its turns too, as ``before``."""
+        """Starts and warms up a bare relay and a node, then measures them in turns: µs per request of each, by turn.
+        ``before``: a checkout of an earlier state, whose node is measured in the same turns, as ``before``."""
         await self.add("relay", [sys.executable, "-m", "benchmarks.bare_relay"])
         await self.add("node", sockets=sockets)
         costs: dict[str, list[float]] = {"relay": [], "node": []}
         if before is not None:
-            await self.add("before", earlier(before), sockets=sockets)
+            await self.add("before", node_command(before), sockets=sockets)
             costs["before"] = []
         for name in costs:
             await self.segment(name, rps, 2.0)
         for turn in range(turns):
             print(f"\rturn {turn + 1} of {turns}", end="", file=sys.stderr)
             for name in sorted(costs, reverse=bool(turn % 2)):
-                begun, had = await self.accepted(), self.streams[name].served
+                accepted_before, served_before = await self.accepted(), self.streams[name].served
                 costs[name].append(await self.segment(name, rps, seconds))
-                self.made[name] = self.made.get(name, 0) + await self.accepted() - begun
-                self.served[name] = self.served.get(name, 0) + self.streams[name].served - had
+                self.handshakes[name] = self.handshakes.get(name, 0) + await self.accepted() - accepted_before
+                self.served[name] = self.served.get(name, 0) + self.streams[name].served - served_before
         print(file=sys.stderr)
         return costs
 
     async def accepted(self) -> int:
-        """Connections that the servers have accepted so far."""
+        """How many connections the servers have accepted so far."""
         self.child.tell({"cmd": "count"})
         count: int = (await self.child.expect("accepted", 10))["count"]
         return count
 
     async def close(self) -> None:
+        """Ends all nodes, the servers and discovery."""
         for node in self.targets.values():
             await node.end()
         await self.child.close()
@@ -306,7 +311,7 @@
 
 
 def progress(name: str, length_s: float) -> Callable[[dict[str, Any]], None]:
-    """What a run in the lab calls: a line that says how far it is."""
+    """A callback for a run in the lab that prints its progress on one line."""
     def show(state: dict[str, Any]) -> None:
         print(f"\r{name} {state['at_s']:5.1f} of {length_s:.0f} s", end="", file=sys.stderr)
 
@@ -314,7 +319,7 @@
 
 
 def write_line(figures: dict[str, Any], as_json: bool) -> None:
-    """The figures for people, then as the last line of the output."""
+    """Prints the figures as a table unless *as_json* is set, then as one line of JSON."""
     if not as_json:
         for name, value in figures.items():
             print(f"{name:<24}{value}")
@@ -322,4 +327,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run_child(servers))
+    sys.exit(run_child(run_servers))
