--- a/benchmarks/judge.py
+++ b/benchmarks/judge.py
@@ -1,13 +1,15 @@
-"""``python -m benchmarks.judge [--json] [--draws N]``: the judge of stages over fleets made by hand, drawn by seed.
-
-Twelve nodes in three sites, three of them changed and three restarted alongside, 40 requests a second a node; counts
-a second as nodes would tell them, no servers and no requests one by one (``tests/rollout/judge/world.py``).
-
-``harmless``: of changes that do no harm, by what the world does meanwhile, the share in percent taken back
-(``false_stops_pct``), paused and let go on.  ``harms``: of each planted harm the share taken back in percent
-(``caught_pct``), the median time to that (``to_verdict_s``) and the median share of the fleet's requests of that time
-that met the changed nodes (``exposed_share``).  ``power``: for stages of several sizes the harm that the plan says it
-would see in eight of ten cases, and in how many it was (``seen``), the margin being half of it.
+"""``python -m benchmarks.judge [--json] [--draws N]``: the judge of stages over synthetic fleets, drawn by seed.
+
+Twelve nodes in three sites, three of them changed and three restarted as a placebo group, 40 requests a second per
+node.  Nodes report counts once a second; servers and single requests are not simulated
+(``tests/rollout/judge/world.py``).
+
+``harmless``: for changes that do no harm, by what happens meanwhile, the percentage rolled back
+(``false_stops_pct``), paused and allowed to go on.  ``harms``: for each planted harm the percentage rolled back
+(``caught_pct``), the median time to that verdict (``to_verdict_s``) and the median share of the fleet's requests in
+that time that reached the changed nodes (``exposed_share``).  ``power``: for stages of several sizes the harm that
+the plan states it would detect in eight of ten cases, and how often it was detected (``seen_pct``) with a margin of
+half that harm.
 """
 
 from __future__ import annotations
@@ -48,7 +50,7 @@
 
 
 def _outage(seed: int) -> Fleet:
-    """Discovery is gone for 40 s: servers that die are heard of late, at all nodes alike."""
+    """Discovery is out for 40 s: all nodes alike learn late of servers that die."""
     return Fleet(seed=seed, shams=3, trouble=lambda site, t: 0.08 if 25 < t < 65 else 0.0)
 
 
@@ -79,16 +81,17 @@
         seed=seed, shams=3, harm=Harm(late=0.05), load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
         trouble=lambda site, t: 0.15 if 30 < t < 60 else 0.0),
 }
-SIZES = ((12, 1), (12, 3), (24, 6))  # nodes of one site, changed
+SIZES = ((12, 1), (12, 3), (24, 6))  # nodes of one site, changed nodes
 
 
-def harmless(case: tuple[str, int]) -> tuple[str, Kind]:
+def play_harmless(case: tuple[str, int]) -> tuple[str, Kind]:
+    """Name and verdict of one draw."""
     name, seed = case
     return name, HARMLESS[name](seed).play()[0].kind
 
 
-def harmful(case: tuple[str, int]) -> tuple[str, Kind, float, float]:
-    """With the time, and the share of requests that met the changed nodes until then."""
+def play_harm(case: tuple[str, int]) -> tuple[str, Kind, float, float]:
+    """Name, verdict, its time in seconds, and the share of requests that reached the changed nodes until then."""
     name, seed = case
     fleet = HARMS[name](seed)
     verdict, at = fleet.play()
@@ -96,8 +99,9 @@
     return name, verdict.kind, at, sum(fleet.size[n] for n in fleet.changed) / total
 
 
-def power(case: tuple[int, int, int]) -> tuple[int, int, float, bool]:
-    """What the plan says of *refused* for one fleet, and whether a harm of that size was seen."""
+def check_power(case: tuple[int, int, int]) -> tuple[int, int, float, bool]:
+    """Nodes, changed nodes, the detectable harm that the plan states for *refused* (0 if none), and whether a harm of
+    that size was detected."""
     nodes, new, seed = case
     (figure,) = (f for f in FIGURES if f.name == "refused")
     limits = Limits(figures=(figure,), by_class=(), most_s=200.0)
@@ -107,12 +111,12 @@
         for row in rows:
             intake.take(row, at)
     before = taken(intake, 0.0, BEFORE_S - 2)
-    told = next(p for p in powers(before, [sorted(quiet.changed)], limits) if p.figure == "refused")
-    if told.least is None:
+    stated = next(p for p in powers(before, [sorted(quiet.changed)], limits) if p.figure == "refused")
+    if stated.least is None:
         return nodes, new, 0.0, False
-    tight = Limits(figures=(Figure("refused", "refused", "taken", told.least / 2),), by_class=(), most_s=200.0)
-    harmed = Fleet(nodes=nodes, sites=1, new=new, seed=seed, limits=tight, harm=Harm(refused=told.least))
-    return nodes, new, told.least, harmed.play()[0].kind is Kind.BACK
+    tight = Limits(figures=(Figure("refused", "refused", "taken", stated.least / 2),), by_class=(), most_s=200.0)
+    harmed = Fleet(nodes=nodes, sites=1, new=new, seed=seed, limits=tight, harm=Harm(refused=stated.least))
+    return nodes, new, stated.least, harmed.play()[0].kind is Kind.BACK
 
 
 def _pct(part: int, whole: int) -> float:
@@ -129,7 +133,7 @@
     out: dict[str, Any] = {"draws": args.draws, "harmless": {}, "harms": {}, "power": []}
     with ProcessPoolExecutor(args.workers) as pool:
         kinds: dict[str, Counter[Kind]] = {name: Counter() for name in HARMLESS}
-        for name, kind in pool.map(harmless, [(n, s) for n in HARMLESS for s in seeds], chunksize=4):
+        for name, kind in pool.map(play_harmless, [(n, s) for n in HARMLESS for s in seeds], chunksize=4):
             kinds[name][kind] += 1
         for name, found in kinds.items():
             out["harmless"][name] = {
@@ -137,22 +141,22 @@
                 "paused_pct": _pct(found[Kind.PAUSE], args.draws), "on_pct": _pct(found[Kind.GO_ON], args.draws)}
             print(f"{name}: {out['harmless'][name]}", file=sys.stderr)
         rows: dict[str, list[tuple[Kind, float, float]]] = {name: [] for name in HARMS}
-        for name, kind, at, share in pool.map(harmful, [(n, s) for n in HARMS for s in seeds], chunksize=4):
+        for name, kind, at, share in pool.map(play_harm, [(n, s) for n in HARMS for s in seeds], chunksize=4):
             rows[name].append((kind, at, share))
-        for name, of in rows.items():
-            caught = [(at, share) for kind, at, share in of if kind is Kind.BACK]
+        for name, results in rows.items():
+            caught = [(at, share) for kind, at, share in results if kind is Kind.BACK]
             out["harms"][name] = {
-                "caught_pct": _pct(len(caught), len(of)),
-                "paused_pct": _pct(sum(kind is Kind.PAUSE for kind, _, _ in of), len(of)),
+                "caught_pct": _pct(len(caught), len(results)),
+                "paused_pct": _pct(sum(kind is Kind.PAUSE for kind, _, _ in results), len(results)),
                 "to_verdict_s": round(statistics.median(at for at, _ in caught), 1) if caught else None,
                 "exposed_share": round(statistics.median(share for _, share in caught), 3) if caught else None}
             print(f"{name}: {out['harms'][name]}", file=sys.stderr)
         for nodes, new in SIZES:
-            found_ = list(pool.map(power, [(nodes, new, s) for s in seeds], chunksize=4))
-            told = [least for _, _, least, _ in found_ if least > 0]
+            power_rows = list(pool.map(check_power, [(nodes, new, s) for s in seeds], chunksize=4))
+            stated = [least for _, _, least, _ in power_rows if least > 0]
             out["power"].append({
-                "nodes": nodes, "changed": new, "stated": round(statistics.median(told), 4) if told else None,
-                "seen_pct": _pct(sum(seen for _, _, least, seen in found_ if least > 0), max(1, len(told)))})
+                "nodes": nodes, "changed": new, "stated": round(statistics.median(stated), 4) if stated else None,
+                "seen_pct": _pct(sum(seen for _, _, least, seen in power_rows if least > 0), max(1, len(stated)))})
             print(f"power: {out['power'][-1]}", file=sys.stderr)
     out["seconds"] = round(time.monotonic() - since)
     print(json.dumps(out))
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -1,13 +1,14 @@
 """``python -m benchmarks.mixed [--json] [--draws N]``: the judge over mixed fleets in the model, drawn by seed.
 
-Real decisions in simulated time: nodes in three sites before servers of their own sites, thin and uneven traffic;
-after the time before some of them (``--changed``), by turns of the sites, are restarted with another version.  A
-harm is a piece of text of the decision module that is another, a setting, or what the model does to a version's
-answers.  The judge reads what nodes tell once a second, and the world as the controller does.
-
-``harmless``: by what the world does meanwhile, the share in percent taken back (``false_stops_pct``), paused and let
-go on.  ``harms``: the share taken back (``caught_pct``), when (``to_verdict_s``, median, from the stage's beginning),
-and the median share of the fleet's requests until then that met the changed nodes (``exposed_share``).
+Real decisions in simulated time: nodes in three sites before servers of their own sites, with little and uneven
+traffic.  After the baseline period some nodes (``--changed``), alternating between the sites, are restarted with
+another version.  A harm is a changed piece of text of the decision module, a setting, or what the model does to a
+version's answers.  The judge reads the reports that nodes send once a second, and the state of the fleet's
+surroundings, as it does in the controller.
+
+``harmless``: by what happens meanwhile, the percentage rolled back (``false_stops_pct``), paused and allowed to go
+on.  ``harms``: the percentage rolled back (``caught_pct``), when (``to_verdict_s``, median, from the beginning of the
+stage), and the median share of the fleet's requests until then that reached the changed nodes (``exposed_share``).
 """
 
 from __future__ import annotations
@@ -39,17 +40,17 @@
 from headspar.world.scenario import Callers, Discovery, Fault, Load, Nodes, Rules, Scenario, Servers, check
 
 DRAWS = 40
-NODES, NEW = 24, 1
-RPS = 20.0  # a node
+NODES, CHANGED_NODES = 24, 1
+RPS = 20.0  # per node
 BEFORE_S, STAGE_S = 50.0, 150.0
-# Short times, as the runs are: looked at from the first ten seconds on, judged from twenty.
+# Short times, because the runs are short: observed from the first ten seconds on, judged from twenty.
 LIMITS = Limits(first_s=20.0, least_s=30.0, most_s=STAGE_S - 5.0, settle_s=5.0)
 
 
 @dataclass(frozen=True)
 class Case:
-    """``plant``: texts of the decision module and what stands there instead; ``faults`` of the world, ``at_s`` from
-    the stage's beginning."""
+    """``plant``: texts of the decision module with their replacements; ``faults``: faults of the surroundings, their
+    ``at_s`` counted from the beginning of the stage."""
 
     plant: tuple[tuple[str, str], ...] = ()
     version: Version = field(default_factory=Version)
@@ -67,7 +68,8 @@
 DRAWN = "        drawn = self.draw_cold(r, now)\n"
 
 
-def refuses(share: float, when: str = "True") -> tuple[tuple[str, str], ...]:
+def refuse_share(share: float, when: str = "True") -> tuple[tuple[str, str], ...]:
+    """A plant that refuses a share of the requests for which the expression *when* holds."""
     return ((ARRIVED, REFUSE.format(when=when, share=share)),)
 
 
@@ -83,8 +85,8 @@
 }
 HARMS: dict[str, Case] = {
     "answers 5% later": Case(version=Version(later=0.05)),
-    "refuses 4 points": Case(refuses(0.04)),
-    "refuses 6 points of one class": Case(refuses(0.06, 'cls.spec.name == "payment"')),
+    "refuses 4 points": Case(refuse_share(0.04)),
+    "refuses 6 points of one class": Case(refuse_share(0.06, 'cls.spec.name == "payment"')),
     "leaks 1 MB a minute": Case(version=Version(leak_mb_min=1.0),
                                 limits=Limits(first_s=20.0, least_s=130.0, most_s=STAGE_S - 5.0, settle_s=5.0,
                                               memory_mb=100.0)),
@@ -97,34 +99,38 @@
         ("        if not worth_it or self.hedge_tokens < 1.0 or self.capacity.acc <= ACC_FLOOR:\n",
          "        if False:\n"),
     )),
-    "worse in one site": Case(refuses(0.15, 'self.settings.zone == "site-a"')),
-    "bad after 50 s": Case(refuses(0.08, "now > 50_000_000 + self.born"), limits=Limits(
+    "worse in one site": Case(refuse_share(0.15, 'self.settings.zone == "site-a"')),
+    "bad after 50 s": Case(refuse_share(0.08, "now > 50_000_000 + self.born"), limits=Limits(
         first_s=20.0, least_s=100.0, most_s=STAGE_S - 2.0, settle_s=5.0)),
 }
-BORN = ("        self.ticked_at = 0\n", "        self.ticked_at = 0\n        self.born = 0\n")
-FIRST = ("            self.tick_at = now_us\n", "            self.tick_at = now_us\n            self.born = now_us\n")
+INIT_START_TIME = ("        self.ticked_at = 0\n", "        self.ticked_at = 0\n        self.born = 0\n")
+SET_START_TIME = ("            self.tick_at = now_us\n",
+                  "            self.tick_at = now_us\n            self.born = now_us\n")
 
 
-def fleet(nodes: int, seed: int, faults: tuple[Fault, ...]) -> Scenario:
-    """Servers at half of what they can do, a fifth of them faster."""
+def build_scenario(nodes: int, seed: int, faults: tuple[Fault, ...]) -> Scenario:
+    """A fleet whose servers run at half of their capacity, a fifth of them on faster machines."""
     servers = round(nodes * RPS / 27.0 / 0.5)
-    moved = [Fault(**{**{f: getattr(x, f) for f in x.__struct_fields__}, "at_s": BEFORE_S + x.at_s}) for x in faults]
+    shifted = [Fault(**{**{f: getattr(x, f) for f in x.__struct_fields__}, "at_s": BEFORE_S + x.at_s})
+               for x in faults]
     return check(Scenario(
         name=f"mixed-{seed}", length_s=BEFORE_S + STAGE_S, nodes=Nodes(count=nodes),
         servers=[Servers(count=servers - servers // 5, connections=nodes, idle_s=8.0),
                  Servers(count=servers // 5, machine="fast", speed=(1.3, 1.6), connections=nodes, idle_s=8.0)],
         load=Load(rps=nodes * RPS, swing=0.1, node_skew=0.4), callers=Callers(retries=1, notice_s=1.0),
-        discovery=Discovery(notice_s=(0.5, 1.5), calls_per_s=nodes), rules=Rules(), faults=moved,
+        discovery=Discovery(notice_s=(0.5, 1.5), calls_per_s=nodes), rules=Rules(), faults=shifted,
     ))
 
 
-def planted(case: Case, folder: Path) -> Version:
+def planted_version(case: Case, folder: Path) -> Version:
+    """The case's version; a changed decision module is written to *folder*.  Raises ``SystemExit`` if a text to
+    replace does not occur exactly once."""
     if not case.plant:
         return case.version
     text = Path(decide.__file__).read_text()
-    for before, after in (*case.plant, BORN, FIRST):
+    for before, after in (*case.plant, INIT_START_TIME, SET_START_TIME):
         if text.count(before) != 1:
-            raise SystemExit(f"planted text is there {text.count(before)} times: {before!r}")
+            raise SystemExit(f"planted text occurs {text.count(before)} times, not once: {before!r}")
         text = text.replace(before, after)
     path = folder / "decide.py"
     path.write_text(text)
@@ -133,26 +139,27 @@
 
 
 def play(task: tuple[str, int, int, int]) -> tuple[str, Kind, str, float, float, int]:
-    """The case's name, the verdict with its reason, when, the exposed share, rules broken."""
+    """Plays (case, nodes, changed nodes, seed).  Returns the case's name, the verdict, its reason, its time in
+    seconds, the exposed share and the number of rules broken."""
     name, nodes, changed, seed = task
     case = (HARMLESS | HARMS)[name]
-    scenario = fleet(nodes, seed, case.faults)
+    scenario = build_scenario(nodes, seed, case.faults)
     rng = random.Random(f"{seed}/mixed")
     with tempfile.TemporaryDirectory(prefix="headspar-mixed-") as folder:
         sites = [rng.sample(names, len(names)) for _, names in sorted(by_site(scenario, seed).items())]
         new = [sites[i % len(sites)][i // len(sites)] for i in range(changed)]
         changes = [Becomes(BEFORE_S, n, "new") for n in new]
-        result = simulate(scenario, seed, mixture=Mixture({"new": planted(case, Path(folder))}, changes))
-    told: dict[int, list[Any]] = {}
+        result = simulate(scenario, seed, mixture=Mixture({"new": planted_version(case, Path(folder))}, changes))
+    reports: dict[int, list[Any]] = {}
     for row in result.told:
-        told.setdefault(round(row.at_s), []).append(row)
+        reports.setdefault(round(row.at_s), []).append(row)
     site_of = {row.node: row.site for row in result.told}
     judging = Judging(Judged(True, BEFORE_S - 5.0, 1.0, case.limits), site_of, 0.0, None)
     judge: Judge | None = None
     verdict, at = None, 0.0
-    for second in sorted(told):
+    for second in sorted(reports):
         now = float(second)
-        for row in told[second]:
+        for row in reports[second]:
             judging.take(row.node, Work(row.process, row.up_s, "new" if row.version else "old", row.counts,
                                         row.gauges), now)
         if now >= BEFORE_S and judge is None:
@@ -163,12 +170,12 @@
             if verdict.kind is not Kind.WAIT:
                 break
     assert verdict is not None and judge is not None
-    met = total = 0.0
+    exposed = total = 0.0
     for node in site_of:
         taken = judging.intake.sums(node, BEFORE_S, BEFORE_S + at).get("taken", 0.0)
         total += taken
-        met += taken if node in new else 0.0
-    return name, verdict.kind, verdict.reason, at, met / max(1.0, total), sum(result.verdict.counts.values())
+        exposed += taken if node in new else 0.0
+    return name, verdict.kind, verdict.reason, at, exposed / max(1.0, total), sum(result.verdict.counts.values())
 
 
 def by_site(scenario: Scenario, seed: int) -> dict[str, list[str]]:
@@ -189,7 +196,7 @@
     parser.add_argument("--json", action="store_true", help="end with one line of JSON (it always does)")
     parser.add_argument("--draws", type=int, default=DRAWS)
     parser.add_argument("--nodes", type=int, default=NODES)
-    parser.add_argument("--changed", type=int, default=NEW)
+    parser.add_argument("--changed", type=int, default=CHANGED_NODES)
     parser.add_argument("--only", help="names of cases, separated by commas")
     parser.add_argument("--workers", type=int, default=os.cpu_count())
     args = parser.parse_args()
@@ -207,17 +214,17 @@
                     print(f"    {kind.value} at {at:.0f} s: {reason}", file=sys.stderr)
     out: dict[str, Any] = {"draws": args.draws, "nodes": args.nodes, "changed": args.changed,
                            "harmless": {}, "harms": {}}
-    for name, of in rows.items():
-        back = [r for r in of if r[0] is Kind.BACK]
-        paused = _pct(sum(r[0] is Kind.PAUSE for r in of), len(of))
+    for name, results in rows.items():
+        rolled_back = [r for r in results if r[0] is Kind.BACK]
+        paused = _pct(sum(r[0] is Kind.PAUSE for r in results), len(results))
         if name in HARMLESS:
-            out["harmless"][name] = {"false_stops_pct": _pct(len(back), len(of)), "paused_pct": paused,
-                                     "on_pct": _pct(sum(r[0] is Kind.GO_ON for r in of), len(of))}
+            out["harmless"][name] = {"false_stops_pct": _pct(len(rolled_back), len(results)), "paused_pct": paused,
+                                     "on_pct": _pct(sum(r[0] is Kind.GO_ON for r in results), len(results))}
         else:
             out["harms"][name] = {
-                "caught_pct": _pct(len(back), len(of)), "paused_pct": paused,
-                "to_verdict_s": statistics.median(r[2] for r in back) if back else None,
-                "exposed_share": round(statistics.median(r[3] for r in back), 3) if back else None}
+                "caught_pct": _pct(len(rolled_back), len(results)), "paused_pct": paused,
+                "to_verdict_s": statistics.median(r[2] for r in rolled_back) if rolled_back else None,
+                "exposed_share": round(statistics.median(r[3] for r in rolled_back), 3) if rolled_back else None}
     out["rules_broken_harmless"] = sum(r[4] for name in HARMLESS for r in rows.get(name, []))
     out["seconds"] = round(time.monotonic() - since)
     print(json.dumps(out))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,10 +1,10 @@
-"""Changes in stages: controllers killed at drawn moments over real processes, what a change costs, and the rehearsal.
+"""Changes in stages: controllers killed at random times over real processes, the cost of a change, and rehearsals.
 
-    python -m benchmarks.rollout --json                 # all of it, some ten minutes
+    python -m benchmarks.rollout --json                 # everything: about ten minutes
     python -m benchmarks.rollout --kills 40 --orders 500
 
-``rules_broken`` and ``lost`` are the audit's, over all runs that it can vouch for; a run that it can't counts in
-``invalid`` and is made once more.  ``over_limit_moments``: from the keepers' own log of times and from the rehearsal.
+``rules_broken`` and ``lost`` come from the audit, over all valid runs; a run that is not valid counts in ``invalid``
+and is repeated once.  ``over_limit_moments``: from the keepers' own timed logs and from the rehearsals.
 """
 
 from __future__ import annotations
@@ -43,37 +43,41 @@
 
 TABLE = ('max_out = 2\nmax_out_site = 1\nproving_s = 1.0\nsettle_s = 0.2\npoll_s = 0.1\nlease_s = 0.5\n'
          'ready_s = 15.0\nlost_s = 6.0\nshares = "0.5 1"\n')
-UNJUDGED = "[judge]\non = false\n"
-KEEPER = "start_s = 15.0\ndrain_s = 2.0\nend_s = 6.0\n"
+JUDGE_OFF = "[judge]\non = false\n"
+KEEPER_SETTINGS = "start_s = 15.0\ndrain_s = 2.0\nend_s = 6.0\n"
 NODES = 12
-MOST, OF_SITE = 2, 1  # as the table above has them
-SPARES = 3
+MAX_OUT, MAX_OUT_PER_SITE = 2, 1  # as in TABLE
+STANDBYS = 3
 
 
-class Sums:
-    """What all runs add up to."""
+class Totals:
+    """Totals over all runs."""
 
     def __init__(self, keep: Path | None = None) -> None:
-        """``keep``: where the logs of runs go that passed a limit."""
+        """``keep``: folder for the logs of runs that exceeded a limit."""
         self.counts: Counter[str] = Counter()
         self.keep = keep
 
     def run(self, script: Script, seconds: float, seed: int = 1, limits: bool = True,
             table: str = TABLE) -> tuple[Result, KeptRun]:
+        """Runs *script* over real processes and counts its results; raises ``SystemExit`` if neither of two is valid.
+
+        ``limits``: whether the limits of staged changes apply to the run.
+        """
         s = parse(f'name = "rollout"\nlength_s = {seconds}\n[nodes]\ncount = {NODES}\n[load]\nrps = 90\n')
         s = replace(s, rules=replace(s.rules, lateness_ms=100.0, answer_slack_ms=s.rules.answer_slack_ms + 150.0))
         for _ in range(2):
             with tempfile.TemporaryDirectory(prefix="headspar-rollout-") as folder:
-                result, run = run_kept(s, seed, Path(folder) / "run", script, table + UNJUDGED, KEEPER)
+                result, run = run_kept(s, seed, Path(folder) / "run", script, table + JUDGE_OFF, KEEPER_SETTINGS)
                 if result.verdict.valid:
                     self._count(result, run, limits)
                     return result, run
                 self.counts["invalid"] += 1
-        raise SystemExit(f"no run that the lab can vouch for: {result.verdict.doubts}")
+        raise SystemExit(f"no valid run in two attempts: {result.verdict.doubts}")
 
     def _count(self, result: Result, run: KeptRun, limits: bool) -> None:
         counts = result.verdict.counts
-        if not limits:  # no change in stages: what it is compared with
+        if not limits:  # the comparison without a staged change
             self.counts["at_once_rules_broken"] += sum(counts.values())
             return
         self.counts["lost"] += counts["lost"]
@@ -84,7 +88,7 @@
         rows = run.rows()
         for name in ("steps_twice", "fenced_accepted", "strangers_signalled"):
             self.counts[name] += len(getattr(kept_log, name)(rows))
-        over = sum(n > MOST or of_site > OF_SITE for n, of_site in run.most_on_way())
+        over = sum(n > MAX_OUT or of_site > MAX_OUT_PER_SITE for n, of_site in run.most_on_way())
         self.counts["over_limit_moments"] += over
         if over and self.keep is not None:
             shutil.copytree(run.dir, self.keep / f"{time.monotonic_ns()}", ignore=shutil.ignore_patterns("sources"))
@@ -97,6 +101,7 @@
 
 
 def new_version(number: int) -> Callable[[Path], None]:
+    """An edit that makes a generation's program differ from all others."""
     def change(folder: Path) -> None:
         path = folder / "program" / "headspar" / "reasons.py"
         path.write_text(path.read_text() + f"# version {number}\n")
@@ -104,11 +109,11 @@
     return change
 
 
-async def _start(run: KeptRun, folder: Path, name: str) -> asyncio.subprocess.Process:
+async def _start_change(run: KeptRun, folder: Path, name: str) -> asyncio.subprocess.Process:
     return await run.controller("start", str(run.operator_path), str(folder), "--name", name, "--yes", "--json")
 
 
-async def _states(run: KeptRun) -> list[m.Status]:
+async def _statuses(run: KeptRun) -> list[m.Status]:
     async def one(name: str) -> m.Status | None:
         listen = run.keepers[name].listen
         try:
@@ -120,20 +125,20 @@
     return found
 
 
-def kills(sums: Sums, wanted: int, seed: int) -> int:
-    """Controllers killed at drawn moments of one change after another, spares standing by; how many were."""
-    done = 0
+def kill_controllers(totals: Totals, wanted: int, seed: int) -> int:
+    """Kills controllers at random times during successive changes, with standbys; returns how many it killed."""
+    killed = 0
 
     async def script(run: KeptRun) -> None:
-        nonlocal done
+        nonlocal killed
         rng = random.Random(f"{seed}/kills")
         end = now_us() + 75_000_000
         number = 0
-        while now_us() < end and done < wanted:
+        while now_us() < end and killed < wanted:
             number += 1
             folder = run.generation(f"v{number}", new_version(number))
-            await _start(run, folder, f"c{number}")
-            spares = [await run.controller("run", str(run.operator_path), "--json") for _ in range(SPARES)]
+            await _start_change(run, folder, f"c{number}")
+            standbys = [await run.controller("run", str(run.operator_path), "--json") for _ in range(STANDBYS)]
             record = None
             while True:
                 await asyncio.sleep(rng.uniform(0.15, 0.9))
@@ -146,34 +151,34 @@
                 holder, _, until = record.holder()
                 pid = int(holder.rpartition("/")[2] or 0)
                 leader = next((c for c in run.controllers if c.pid == pid and c.returncode is None), None)
-                # A change whose controllers all die within a second goes on for as long as they do.
-                if leader is not None and until > time.time() and done < wanted and now_us() < end:
+                # A change lasts as long as its controllers keep being killed within a second of each other.
+                if leader is not None and until > time.time() and killed < wanted and now_us() < end:
                     leader.kill()
                     await leader.wait()
-                    done += 1
-                    spares = [s for s in spares if s.returncode is None]
-                    while len(spares) < SPARES:
-                        spares.append(await run.controller("run", str(run.operator_path), "--json"))
+                    killed += 1
+                    standbys = [s for s in standbys if s.returncode is None]
+                    while len(standbys) < STANDBYS:
+                        standbys.append(await run.controller("run", str(run.operator_path), "--json"))
             goal = {State.DONE: f"v{number}"}.get(found[0].state)
-            states = await _states(run)
-            if goal is not None and {s.present for s in states} != {run.generations[goal]}:
-                sums.counts["steps_skipped"] += 1
+            statuses = await _statuses(run)
+            if goal is not None and {s.present for s in statuses} != {run.generations[goal]}:
+                totals.counts["steps_skipped"] += 1
             for controller in run.controllers:
                 if controller.returncode is None:
                     controller.kill()
                     await controller.wait()
         ends = Counter(c.returncode for c in run.controllers)
-        sums.counts["controllers_fenced"] += ends[4]
+        totals.counts["controllers_fenced"] += ends[4]
 
-    sums.run(script, 30.0, seed)
-    return done
+    totals.run(script, 30.0, seed)
+    return killed
 
 
-def costs(sums: Sums) -> dict[str, Any]:
-    """What a change of twelve nodes takes and costs, beside none and beside all at once."""
+def measure_costs(totals: Totals) -> dict[str, Any]:
+    """Time and cost of a staged change of twelve nodes, compared with no change and with a change of all at once."""
     out: dict[str, Any] = {}
 
-    async def none(run: KeptRun) -> None:
+    async def no_change(run: KeptRun) -> None:
         await asyncio.sleep(4.0)
         pids = [k.process.pid for k in run.keepers.values() if k.process is not None]
         before = [_cpu_s(pid) for pid in pids]
@@ -185,13 +190,13 @@
     async def staged(run: KeptRun) -> None:
         folder = run.generation("new", new_version(1))
         since = time.monotonic()
-        process = await _start(run, folder, "c1")
+        process = await _start_change(run, folder, "c1")
         out["change_end"] = await process.wait()
         out["change_s"] = round(time.monotonic() - since, 1)
 
-    async def back(run: KeptRun) -> None:
+    async def roll_back(run: KeptRun) -> None:
         folder = run.generation("new", new_version(1))
-        process = await _start(run, folder, "c1")
+        process = await _start_change(run, folder, "c1")
         record = None
         while True:
             await asyncio.sleep(0.05)
@@ -202,7 +207,7 @@
         since = time.monotonic()
         await (await run.controller("back", str(run.operator_path), "--yes")).wait()
         if await process.wait() != 1:
-            raise SystemExit("the change was over before it could be taken back: nothing of that was measured")
+            raise SystemExit("the change ended before it could be rolled back: roll-back time not measured")
         out["back_s"] = round(time.monotonic() - since, 1)
 
     async def at_once(run: KeptRun) -> None:
@@ -213,10 +218,11 @@
             node.marks.append(Mark(now_us(), "node_term", name))
             os.kill(pid, 15)
 
-    for label, script in (("without", none), ("staged", staged), ("going_back", back), ("at_once", at_once)):
-        # The command that takes it back must have started before the last stage is proven.
-        table = TABLE.replace("proving_s = 1.0", "proving_s = 6.0") if script is back else TABLE
-        result, _ = sums.run(script, 16.0, limits=script is not at_once, table=table)
+    for label, script in (
+            ("without", no_change), ("staged", staged), ("going_back", roll_back), ("at_once", at_once)):
+        # The roll-back command must have started before the last stage is proven.
+        table = TABLE.replace("proving_s = 1.0", "proving_s = 6.0") if script is roll_back else TABLE
+        result, _ = totals.run(script, 16.0, limits=script is not at_once, table=table)
         service = result.service
         out[f"served_worth_{label}"] = round(service.whole, 4)
     out["served_worth"] = out["served_worth_staged"]
@@ -234,7 +240,7 @@
 
 
 def _faults(seed: int) -> Faults:
-    """A mixture of faults, drawn."""
+    """A random mixture of faults."""
     rng = random.Random(f"{seed}/faults")
     share = rng.choice([0.0, 0.05, 0.15])
     return Faults(
@@ -248,7 +254,7 @@
 
 
 def rehearse(seed: int) -> tuple[str, int, bool]:
-    """One drawn order: how it ended, moments over the limits, and whether fleet and record agree."""
+    """One rehearsal with random faults: final state, moments over the limits, and whether fleet and record agree."""
     rng = random.Random(f"{seed}/size")
     nodes, sites = rng.choice([(1, 1), (6, 2), (12, 3), (24, 3), (30, 5)])
     world = Rehearsal(nodes, sites, seed, _faults(seed), Limits(rng.choice([1, 2, 4]), rng.choice([1, 2])),
@@ -261,8 +267,8 @@
     return state.value, world.over, agree and steps
 
 
-def large(seed: int) -> tuple[str, int, float]:
-    """1,000 nodes in 6 sites under faults: its end, moments over the limits, seconds of the change."""
+def rehearse_large(seed: int) -> tuple[str, int, float]:
+    """1,000 nodes in 6 sites under faults: its final state, moments over the limits, and the change's time in s."""
     faults = Faults(drop=0.02, lose=0.02, late=0.02, twice=0.05, keeper_deaths=0.0005, controller_deaths=0.01,
                     cuts=0.0005, cut_s=1.5, until=400.0)
     world = Rehearsal(1000, 6, seed, faults, Limits(60, 12))
@@ -275,37 +281,37 @@
     parser.add_argument("--json", action="store_true", help="end with one line of JSON (it always does)")
     parser.add_argument("--kills", type=int, default=200)
     parser.add_argument("--orders", type=int, default=10_000)
-    parser.add_argument("--keep", type=Path, help="a folder for the logs of runs that passed a limit")
-    parser.add_argument("--kills-alone", action="store_true", help="without what a change costs")
-    parser.add_argument("--large", type=int, default=2, help="rehearsals of 1,000 nodes")
+    parser.add_argument("--keep", type=Path, help="a folder for the logs of runs that exceeded a limit")
+    parser.add_argument("--kills-alone", action="store_true", help="leave out the cost of a change")
+    parser.add_argument("--large", type=int, default=2, help="number of rehearsals of 1,000 nodes")
     args = parser.parse_args()
-    sums, figures = Sums(args.keep), {}
+    totals, figures = Totals(args.keep), {}
     since = time.monotonic()
     killed = seed = 0
     while killed < args.kills and seed < 12:
         seed += 1
-        killed += kills(sums, args.kills - killed, seed)
+        killed += kill_controllers(totals, args.kills - killed, seed)
         print(f"kills {killed}, {time.monotonic() - since:.0f} s", file=sys.stderr)
     if args.kills and not args.kills_alone:
-        figures = costs(sums)
+        figures = measure_costs(totals)
         print(f"costs {figures}", file=sys.stderr)
     ends: Counter[str] = Counter()
     over = disagree = 0
     with ProcessPoolExecutor() as pool:
-        for state, moments, agree in pool.map(rehearse, range(args.orders), chunksize=20):
+        for state, moments, agrees in pool.map(rehearse, range(args.orders), chunksize=20):
             ends[state] += 1
             over += moments
-            disagree += not agree and state != State.PERSON.value
-        big = list(pool.map(large, range(args.large)))
-    in_runs = sums.counts["over_limit_moments"]
-    sums.counts["over_limit_moments"] += over + sum(moments for _, moments, _ in big)
-    named = ("steps_twice", "steps_skipped", "fenced_accepted", "strangers_signalled", "over_limit_moments",
+            disagree += not agrees and state != State.PERSON.value
+        large_runs = list(pool.map(rehearse_large, range(args.large)))
+    in_runs = totals.counts["over_limit_moments"]
+    totals.counts["over_limit_moments"] += over + sum(moments for _, moments, _ in large_runs)
+    names = ("steps_twice", "steps_skipped", "fenced_accepted", "strangers_signalled", "over_limit_moments",
              "rules_broken", "lost", "excused", "invalid", "controllers_fenced", "at_once_rules_broken")
     print(json.dumps({
         "kills": killed, "over_limit_in_runs": in_runs,
-        **{name: sums.counts[name] for name in named}, **figures, "orders": args.orders,
+        **{name: totals.counts[name] for name in names}, **figures, "orders": args.orders,
         "orders_ends": dict(ends), "orders_disagreeing": disagree,
-        "large": [{"end": end, "over": moments, "s": round(s)} for end, moments, s in big],
+        "large": [{"end": end, "over": moments, "s": round(s)} for end, moments, s in large_runs],
         "seconds": round(time.monotonic() - since),
     }))
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,10 +1,11 @@
-"""Every version that git's history holds against this one: what it wrote is read here, what is written here it reads.
+"""Checks each version in git's history against this one: whether each reads the forms that the other has written.
 
     python -m benchmarks.versions --json
 
-Checks out, in a temporary folder, each commit that touched a file in which a form is written (``WRITERS``), lets
-its program write a sample of each form that it has, and read this one's.  Ends with one line of JSON:
-``new_reads_old_pct`` must be 100; ``old_reads_new`` names the forms that earlier ones can't read, and how many.
+Checks out, in a temporary folder, each commit that touched a file that writes a stored or transmitted form
+(``WRITERS``), lets its program write a sample of each form that it has, and read the samples of this version.  Ends
+with one line of JSON: ``new_reads_old_pct`` must be 100; ``old_reads_new`` names the forms that earlier versions
+can't read, and how many of them.
 """
 
 from __future__ import annotations
@@ -26,38 +27,39 @@
     "headspar/decide.py", "headspar/handover", "headspar/keeper", "headspar/rollout", "headspar/recorder",
     "headspar/operations/work.py", "headspar/connections/plan.py", "headspar/identity.py",
 ]
-NO_SUCH_THING = ("ModuleNotFoundError", "ImportError", "AttributeError: module")
-# Forms of keepers that were never installed: of the days on which they were made.
+MISSING_FORM_ERRORS = ("ModuleNotFoundError", "ImportError", "AttributeError: module")
+# Forms of keepers that were never deployed, from early development.
 ABANDONED = {
-    "keeper_reply-ad2bd3b9": "the first keeper's answer, before trials could be held",
-    "keeper_words-9860ac53": "hold and confirm without the generation that they speak of",
-    "keeper_words-ee90c644": "the same, with steps",
+    "keeper_reply-ad2bd3b9": "reply of the first keeper, before trials could be pinned",
+    "keeper_words-9860ac53": "hold and confirm commands without their generation",
+    "keeper_words-ee90c644": "the same commands, with steps",
 }
 
 
-def git(*words: str) -> str:
-    return subprocess.run(["git", *words], cwd=ROOT, check=True, capture_output=True, text=True).stdout
+def git(*arguments: str) -> str:
+    """Output of a git command in this checkout; raises ``CalledProcessError`` if it fails."""
+    return subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
 
 
-def run(module: str, at: Path, *words: str) -> str:
-    """A tool over the program of a checkout; its output, empty if it could not run."""
+def run(module: str, at: Path, *arguments: str) -> str:
+    """Runs a tool with the program of a checkout; returns its output, empty if it failed."""
     env = {**os.environ, "PYTHONPATH": str(at), "PYTHONDONTWRITEBYTECODE": "1"}
-    done = subprocess.run([sys.executable, "-m", module, *words], cwd=at, env=env, capture_output=True, text=True,
-                          timeout=120)
-    if done.returncode:
-        print(f"  {at.name}: {module}: {done.stderr.strip().splitlines()[-1:]}", file=sys.stderr)
-    return done.stdout if not done.returncode else ""
+    completed = subprocess.run([sys.executable, "-m", module, *arguments], cwd=at, env=env, capture_output=True,
+                               text=True, timeout=120)
+    if completed.returncode:
+        print(f"  {at.name}: {module}: {completed.stderr.strip().splitlines()[-1:]}", file=sys.stderr)
+    return completed.stdout if not completed.returncode else ""
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--json", action="store_true", help="end with one line of JSON (it always does)")
-    parser.add_argument("--keep", type=Path, help="put samples of forms that are not frozen yet into this folder")
+    parser.add_argument("--keep", type=Path, help="folder to add samples of new forms to")
     args = parser.parse_args()
     commits = git("log", "--format=%h", "--", *WRITERS).split()
-    old: dict[str, str] = {}
-    cannot: Counter[str] = Counter()
-    tried = failed_runs = 0
+    first_commit: dict[str, str] = {}
+    unreadable: Counter[str] = Counter()
+    versions = failed_runs = 0
     with tempfile.TemporaryDirectory(prefix="headspar-versions-") as folder:
         here, theirs = Path(folder) / "here", Path(folder) / "theirs"
         run("tests.versions.forms", ROOT, str(here))
@@ -73,30 +75,30 @@
             wrote = run("tests.versions.forms", tree, str(theirs))
             failed_runs += not (theirs.exists() and any(theirs.iterdir()))
             for name in wrote.split():
-                old[name] = commit
+                first_commit[name] = commit
             found: dict[str, Any] = json.loads(run("tests.versions.readers", tree, str(here)) or "{}")
-            tried += 1
-            for name, why in found.items():
-                if why is not None and not why.startswith(NO_SUCH_THING):
-                    cannot[name.rpartition("-")[0]] += 1
-                    print(f"  {commit} does not read {name}: {why}", file=sys.stderr)
+            versions += 1
+            for name, error in found.items():
+                if error is not None and not error.startswith(MISSING_FORM_ERRORS):
+                    unreadable[name.rpartition("-")[0]] += 1
+                    print(f"  {commit} does not read {name}: {error}", file=sys.stderr)
             shutil.rmtree(tree)
-        wrong = json.loads(run("tests.versions.readers", ROOT, str(theirs)))
+        results = json.loads(run("tests.versions.readers", ROOT, str(theirs)))
         if args.keep is not None:
             for path in theirs.iterdir():
                 if not (args.keep / path.name).exists():
                     shutil.copy(path, args.keep)
-    for name, why in wrong.items():
-        print(f"{name}, first met in {old.get(name)}: {why or 'read'}", file=sys.stderr)
-    given_up = sorted(wrong.keys() & ABANDONED.keys())
-    for name in given_up:
-        del wrong[name]
-    good = sum(why is None for why in wrong.values())
+    for name, error in results.items():
+        print(f"{name}, first written by {first_commit.get(name)}: {error or 'read'}", file=sys.stderr)
+    abandoned = sorted(results.keys() & ABANDONED.keys())
+    for name in abandoned:
+        del results[name]
+    readable = sum(error is None for error in results.values())
     print(json.dumps({
-        "versions": tried, "forms_of_earlier_ones": len(wrong), "abandoned": given_up,
-        "new_reads_old_pct": round(100 * good / len(wrong), 1),
-        "not_read": {name: why for name, why in wrong.items() if why is not None}, "old_reads_new": dict(cannot),
-        "could_not_run": failed_runs,
+        "versions": versions, "forms_of_earlier_ones": len(results), "abandoned": abandoned,
+        "new_reads_old_pct": round(100 * readable / len(results), 1),
+        "not_read": {name: error for name, error in results.items() if error is not None},
+        "old_reads_new": dict(unreadable), "could_not_run": failed_runs,
     }))
 
 
