--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -55,11 +55,11 @@
     started = time.perf_counter()
     for name in picks:
         now += 1000
-        taken_connection = plan.take(name, now, proof=False)
-        if taken_connection.answer is Answer.OPEN:
+        decision = plan.take(name, now, proof=False)
+        if decision.answer is Answer.OPEN:
             plan.waits_no_more(name)
-            plan.opened(taken_connection.connection, now, taken=True)
-        outstanding.append(taken_connection.connection)
+            plan.opened(decision.connection, now, taken=True)
+        outstanding.append(decision.connection)
         if len(outstanding) > 20:
             plan.answered(outstanding.pop(0), now, keep=True)
         if now - ticked >= 1_000_000:
