--- a/headspar/cli.py
+++ b/headspar/cli.py
@@ -55,6 +55,7 @@
 
 
 def _run(s: Scenario, seed: int, keep: Path | None, on_progress: Any, record: bool = False) -> Result:
+    """Runs a scenario, with its files in ``keep`` or a temporary folder; exits with one line if it cannot."""
     try:
         if keep is not None:
             return run_scenario(s, seed, keep, on_progress, record=record)
@@ -154,18 +155,18 @@
         results = []
         for struck in (False, True):
             with tempfile.TemporaryDirectory(prefix="headspar-lab-") as dir:
-                to = keep / f"{seed}-{'struck' if struck else 'not'}" if keep is not None else Path(dir)
+                run_dir = keep / f"{seed}-{'struck' if struck else 'not'}" if keep is not None else Path(dir)
                 try:
-                    results.append(run_scenario(s, seed, to, struck=struck))
+                    results.append(run_scenario(s, seed, run_dir, struck=struck))
                 except RunError as error:
                     raise stop(str(error), 4) from None
         without, result = results
         c = comeback(result.recording, without.recording, s.discovery.calls_per_s)
         return cr.Drawn(seed, c, result.verdict, result.service.whole, without.service.whole)
 
-    of = cr.blow(kind, nodes=nodes, share=share, spread_s=spread_s, back_s=back_s, calls_per_s=calls,
+    experiment = cr.blow(kind, nodes=nodes, share=share, spread_s=spread_s, back_s=back_s, calls_per_s=calls,
                  utilisation=load, again=again, deaf=deaf)
-    cr.whole(of, range(first, first + seeds), play, json_to, picture_to)
+    cr.whole(experiment, range(first, first + seeds), play, json_to, picture_to)
 
 
 @lab.command("check")
--- a/headspar/lab/callers.py
+++ b/headspar/lab/callers.py
@@ -270,16 +270,16 @@
 
     async def _send_all(self) -> None:
         """Sends each call at its planned time; calls that are due together go out in one round of the loop."""
-        mine = [(c, i) for i, c in enumerate(self.plan.calls) if i % self.parts == self.part]
-        begin, at, size = self.began_at, 0, len(mine)
+        own_calls = [(c, i) for i, c in enumerate(self.plan.calls) if i % self.parts == self.part]
+        begin, at, size = self.began_at, 0, len(own_calls)
         while at < size:
             now = now_us()
-            due = begin + mine[at][0].at
+            due = begin + own_calls[at][0].at
             if due > now:
                 await asyncio.sleep((due - now) / 1e6)
                 continue
-            while at < size and begin + mine[at][0].at <= now:
-                call, index = mine[at]
+            while at < size and begin + own_calls[at][0].at <= now:
+                call, index = own_calls[at]
                 at += 1
                 t = ClientAttempt(call, index, 0, begin + call.at)
                 self.lateness_us.append(now_us() - t.planned_at)
--- a/headspar/lab/cash_server.py
+++ b/headspar/lab/cash_server.py
@@ -148,11 +148,11 @@
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
         self.backlog_fillers: list[socket.socket] = []
-        held = [socket.socket() for _ in nodes]  # one port per node, kept across restarts
-        for node, sock in zip(nodes, held, strict=True):
+        reserved = [socket.socket() for _ in nodes]  # one port per node, kept across restarts
+        for node, sock in zip(nodes, reserved, strict=True):
             sock.bind((host, 0))
             self.addresses[node] = sock.getsockname()
-        for sock in held:
+        for sock in reserved:
             sock.close()
 
     # ------------------------------------------------------------ lifecycle
@@ -429,5 +429,5 @@
 
     def load(self) -> tuple[int, int, int]:
         """Returns (slots in use, requests queued, connections)."""
-        held, queued = self.core.machine.load() if self.core.machine is not None else (0, 0)
-        return held, queued, len(self.connections)
+        in_use, queued = self.core.machine.load() if self.core.machine is not None else (0, 0)
+        return in_use, queued, len(self.connections)
--- a/headspar/lab/kept.py
+++ b/headspar/lab/kept.py
@@ -328,7 +328,7 @@
             elif event["event"] == "keeper.signalled" and event["signal"] in ("SIGTERM", "SIGKILL"):
                 what = "node_term" if event["signal"] == "SIGTERM" else "node_kill"
                 marks.append(Mark(at, what, node.name))
-            elif event["event"] == "keeper.silent":  # treated as killed for that long
+            elif event["event"] == "keeper.silent":  # treated as killed for that long, one mark per 0.5 s
                 mark_count = int(2 * event["seconds"]) + 3
                 marks += [Mark(at - i * 500_000, "node_kill", node.name) for i in range(mark_count)]
             elif event["event"] == "keeper.process_ended":
--- a/headspar/lab/links.py
+++ b/headspar/lab/links.py
@@ -172,7 +172,7 @@
             return
         self.open |= {writer, far_writer}
         pumps = [asyncio.create_task(self._pump(reader, far_writer, "hold_up")),
-                asyncio.create_task(self._pump(far_reader, writer, "hold_down"))]
+                 asyncio.create_task(self._pump(far_reader, writer, "hold_down"))]
         self.tasks.update(pumps)
         await asyncio.gather(*pumps, return_exceptions=True)
         self.tasks.difference_update(pumps)
--- a/headspar/lab/report.py
+++ b/headspar/lab/report.py
@@ -77,9 +77,9 @@
     for name, justify in (("server", "left"), ("state", "left"), ("in progress", "right"), ("queued", "right"),
                           ("connections", "right"), ("", "left")):
         table.add_column(name, justify=justify)  # type: ignore[arg-type]
-    for id, (condition, held, queued, connections) in sorted(state["servers"].items()):
-        table.add_row(id, Text(condition, style=STATE_STYLE.get(condition, "")), str(held), str(queued),
-                      str(connections), Text("▪" * min(60, held) + "·" * min(40, queued), style="green"))
+    for id, (server_state, in_progress, queued, connections) in sorted(state["servers"].items()):
+        table.add_row(id, Text(server_state, style=STATE_STYLE.get(server_state, "")), str(in_progress), str(queued),
+                      str(connections), Text("▪" * min(60, in_progress) + "·" * min(40, queued), style="green"))
     last = [f"{what.replace('_', ' ')} {target}" for what, target in state["marks"][-4:]]
     return Panel(Group(bar, figures, table, Text("\n".join(last) or " ", style="yellow")), title=title)
 
