--- a/headspar/world/plan.py
+++ b/headspar/world/plan.py
@@ -1,9 +1,9 @@
-"""Every arrival, server and fault of a run, drawn from a scenario and a seed; without I/O.
+"""Generates all arrivals, servers and faults of a run from a scenario and a seed.  Performs no I/O.
 
-The same scenario and seed give the same plan in every process, so callers and servers draw it each for
-themselves and nothing of it has to travel: a call's id is its index, and a server looks up the work that it
-stands for.  ``digest`` tells two plans apart.  Draws of different kinds come from generators of their own, so
-that a change of one does not shift the others.  Times are microseconds from the run's start.
+The same scenario and seed give the same plan in every process, so that callers and servers each generate it and
+need not exchange it: a call's id is its index, by which a server looks up the call's work.  ``digest`` identifies a
+plan.  Servers, faults, arrival times and calls each have a random generator of their own, so that a change to one
+does not shift the others.  Times are microseconds from the run's start.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ServerPlan(msgspec.Struct, frozen=True):
-    """One cash server.  ``capacity`` is its warm work in microseconds a second."""
+    """One cash server."""
 
     id: str
     site: str
@@ -39,16 +39,17 @@
     cold_share: float
     ramp_us: int
     error_rate: float
-    starts_at: int  # -1: warm from before the run
+    starts_at: int  # -1: it runs and is warm from the beginning
     choke: Choke | None = None
 
     @property
     def capacity(self) -> float:
+        """Microseconds of work per second when warm."""
         return self.cores * self.speed * SECOND
 
 
 class Call(msgspec.Struct, frozen=True, gc=False):
-    """One first try; a caller's retries are drawn from ``seed``."""
+    """One call, by its first client attempt.  The pauses before its retries are drawn from ``seed``."""
 
     at: int
     cls: int
@@ -57,15 +58,15 @@
     node: int
     work_us: int
     wait_us: int
-    hint_us: int  # 0: none is given
+    hint_us: int  # 0: the request carries no hint
     budget_us: int
-    leave_us: int  # the caller closes its connection so long after sending; 0: it stays
+    leave_us: int  # the caller closes its connection this long after sending; 0: never
     seed: int
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One change that a fault makes, to servers (``s-…``), a node (``n…``) or discovery (``d``), or that the callers
-    make by themselves (``c``)."""
+    """One scheduled change.  Targets are servers (``s-…``), nodes (``n…``), discovery (``d``) or the callers
+    (``c``)."""
 
     at: int
     kind: str
@@ -76,7 +77,8 @@
 
 
 class Plan(msgspec.Struct):
-    """All that is drawn.  ``ids`` of servers are unlike at each seed, so that none can be told by its name."""
+    """Everything that is generated for a run.  Server ids differ between seeds, so that no policy can recognise a
+    server by its name."""
 
     seed: int
     salt: int
@@ -86,23 +88,25 @@
     capacity: float
     rps: float
     quota_rps: float  # of all agents together
-    mean_us: float = 0.0  # of a request's work
+    mean_us: float = 0.0  # mean work of a request
 
     def digest(self) -> str:
+        """SHA-256 of the plan, in hexadecimal."""
         return hashlib.sha256(msgspec.msgpack.encode(self)).hexdigest()
 
 
 def node_names(s: Scenario) -> list[str]:
+    """The nodes' names, n1, n2 and so on."""
     return [f"n{i + 1}" for i in range(s.nodes.count)]
 
 
 def call_id(salt: int, index: int, attempt: int) -> str:
-    """The ``X-Call-Id`` of a caller's try: 16 hexadecimal digits."""
+    """The ``X-Call-Id`` of a client attempt: 16 hexadecimal digits."""
     return f"{salt:06x}{index:08x}{attempt:02x}"
 
 
 def read_call_id(salt: int, text: str) -> tuple[int, int] | None:
-    """Index and try of a call, or None for an id that no caller of this run made."""
+    """Call index and number of the client attempt, or None for an id that is not of this run."""
     if len(text) != 16 or text[:6] != f"{salt:06x}":
         return None
     try:
@@ -112,17 +116,18 @@
 
 
 def receipt_key(salt: int, index: int) -> str:
-    """The ``Idempotency-Key`` of a call and of all its tries."""
+    """The ``Idempotency-Key`` of a call, the same for all its client attempts."""
     return f"{salt:06x}receipt{index:08x}"
 
 
 def body_of(index: int, size: int) -> bytes:
-    """A call's body, the same whoever works it out."""
+    """The body of call number ``index``, ``size`` bytes, the same in every process."""
     return (f"{index:08x}".encode() * (size // 8 + 1))[:size]
 
 
 def retry_pause(spec: Callers, call: Call, number: int, retry_after_us: int) -> int:
-    """How long the caller of a try that was not served waits before the next, in us; the same for all who ask."""
+    """The backoff before a caller's next client attempt, in us, after attempt ``number`` was not served.  The same in
+    every process."""
     rng = random.Random(call.seed * 8 + number)
     low, high = spec.backoff_ms
     pause = {"none": 0.0, "fixed": high, "exp": min(high * 8, low * 2 ** number * 2)}[spec.backoff] * 1000
@@ -165,37 +170,38 @@
             continue
         assert f.servers is not None and f.over_s is not None
         total = sum(g.count for g in s.servers)
-        more = max(1, round(f.servers if f.servers >= 1 else f.servers * total))
-        for i in range(more):
-            at = int((f.at_s + f.over_s * i / more) * SECOND)
+        added = max(1, round(f.servers if f.servers >= 1 else f.servers * total))
+        for i in range(added):
+            at = int((f.at_s + f.over_s * i / added) * SECOND)
             rows.append(_server(s.servers[i % len(s.servers)], i // len(s.servers), len(rows), rng, at))
     return rows
 
 
-LEAVING = ("die", "vanish", "drain")
+LEAVING = ("die", "vanish", "drain")  # faults that take a server out of service
 
 
 def _steps(s: Scenario, seed: int, servers: list[ServerPlan]) -> list[Step]:
     rng = random.Random(f"{seed}/faults")
-    everywhere = [p.id for p in servers if p.starts_at < 0]
+    initial = [p.id for p in servers if p.starts_at < 0]
     nodes = node_names(s)
     steps: list[Step] = []
-    away: dict[str, float] = {}  # servers that an earlier fault took out, until when
+    away: dict[str, float] = {}  # servers that an earlier fault took out of service, and until when
     for f in s.faults:
         at = int(f.at_s * SECOND)
         end = at + int((f.for_s or 0.0) * SECOND)
         chosen: list[str] = []
         if f.kind == "grow":
-            continue  # those servers' starts tell it all
+            continue  # it consists of the new servers' starts
         if f.servers is not None:
-            first = everywhere
+            candidates = initial
             if f.site is not None:
-                first = [p.id for p in servers if p.starts_at < 0 and p.site == f.site]
-            count = int(f.servers) if f.servers >= 1 else max(1, round(f.servers * len(first)))
-            count = min(count, len(first))
-            # One that drains and dies by two faults at once shows neither, and its return ends both.
-            there = [id for id in first if away.get(id, 0) <= at] if f.kind in LEAVING else first
-            chosen = sorted(rng.sample(there if len(there) >= count else first, count))
+                candidates = [p.id for p in servers if p.starts_at < 0 and p.site == f.site]
+            count = int(f.servers) if f.servers >= 1 else max(1, round(f.servers * len(candidates)))
+            count = min(count, len(candidates))
+            # A server that drains and dies by two faults at once shows the effect of neither, and its return ends
+            # both.
+            available = [id for id in candidates if away.get(id, 0) <= at] if f.kind in LEAVING else candidates
+            chosen = sorted(rng.sample(available if len(available) >= count else candidates, count))
             if f.kind in LEAVING:
                 back = at + f.back_s * SECOND if f.back_s else end if f.for_s else float("inf")
                 away.update(dict.fromkeys(chosen, back))
@@ -203,16 +209,16 @@
             chosen = sorted(rng.sample(nodes, f.nodes))
         if f.spread_s and f.nodes is not None:
             for i, node in enumerate(rng.sample(chosen, len(chosen))):
-                later = int(f.spread_s * SECOND * i / len(chosen))
-                steps += _of(f, at + later, end + later, [node])
+                delay = int(f.spread_s * SECOND * i / len(chosen))
+                steps += _steps_of_fault(f, at + delay, end + delay, [node])
             continue
-        steps += _of(f, at, end, chosen)
+        steps += _steps_of_fault(f, at, end, chosen)
     steps += [Step(p.starts_at, "start", [p.id]) for p in servers if p.starts_at >= 0]
     steps.sort(key=lambda step: (step.at, step.kind, step.targets))
     return steps
 
 
-def _of(f: Fault, at: int, end: int, chosen: list[str]) -> list[Step]:
+def _steps_of_fault(f: Fault, at: int, end: int, chosen: list[str]) -> list[Step]:
     back = at + int((f.back_s or 0.0) * SECOND)
     share = 1.0 if f.share is None else f.share
     if f.kind == "die":
@@ -241,27 +247,28 @@
         return [Step(at, f.kind, chosen), Step(end, "node_cont", chosen)]
     if f.kind in ("node_hup", "node_upgrade"):
         return [Step(at, f.kind, chosen)]
-    # Floods and hot keys are in the arrivals; these steps only mark them.
+    # Floods and hot keys are part of the arrivals; these steps only record when they begin and end.
     return [Step(at, f.kind, ["c"], text=f.agent or ""), Step(end, "mend", ["c"], text=f.kind)]
 
 
 class _Rates:
-    """Arrivals a second as they change over the run."""
+    """Arrival rate (calls per second) over the run."""
 
     def __init__(self, s: Scenario, base: float, servers: list[ServerPlan], phase: float) -> None:
         self.s, self.base, self.phase = s, base, phase
-        self.warm = sum(p.capacity for p in servers if p.starts_at < 0)
+        self.initial_capacity = sum(p.capacity for p in servers if p.starts_at < 0)
         follows = any(f.kind == "grow" and f.traffic for f in s.faults)
-        self.grown = sorted((p.starts_at, p.capacity) for p in servers if p.starts_at >= 0) if follows else []
-        self.most = base * (1 + s.load.swing) * (1 + sum(c for _, c in self.grown) / self.warm)
+        self.added = sorted((p.starts_at, p.capacity) for p in servers if p.starts_at >= 0) if follows else []
+        self.maximum = base * (1 + s.load.swing) * (1 + sum(c for _, c in self.added) / self.initial_capacity)
 
     def at(self, t: float) -> float:
+        """The rate ``t`` seconds after the run's start; at most ``maximum``."""
         load, whole = self.s.load, self.s.length_s
         x = t / whole
         shape = {"steady": 1.0, "ramp": 0.5 + 0.5 * x, "due-date": 1.0 - 0.6 * abs(2 * x - 1) ** 2}[load.shape]
         wave = 1 + load.swing * math.sin(2 * math.pi * 2 * x + self.phase)
-        more = sum(c for at, c in self.grown if at <= t * SECOND) / self.warm
-        return self.base * shape * wave * (1 + more)
+        growth = sum(c for at, c in self.added if at <= t * SECOND) / self.initial_capacity
+        return self.base * shape * wave * (1 + growth)
 
 
 def _calls(s: Scenario, seed: int, base: float, servers: list[ServerPlan]) -> list[Call]:
@@ -272,10 +279,10 @@
     starts: list[tuple[float, int | None, Fault | None]] = []
     t = 0.0
     while True:
-        t += times.expovariate(rates.most)
+        t += times.expovariate(rates.maximum)
         if t >= s.length_s:
             break
-        if times.random() * rates.most < rates.at(t):
+        if times.random() * rates.maximum < rates.at(t):
             starts.append((t, None, None))
     if load.bursts_per_s > 0:
         t = times.expovariate(load.bursts_per_s)
@@ -337,7 +344,7 @@
 
 
 def draw(s: Scenario, seed: int) -> Plan:
-    """The plan of scenario ``s`` under ``seed``."""
+    """Generate the plan of scenario ``s`` for ``seed``."""
     servers = _servers(s, seed)
     capacity = sum(p.capacity for p in servers if p.starts_at < 0)
     shares = sum(c.share for c in s.classes)
--- a/headspar/world/scenario.py
+++ b/headspar/world/scenario.py
@@ -1,7 +1,8 @@
-"""What is to happen in a run: typed, read from TOML, checked before anything starts.
+"""Description of a run, parsed from TOML and validated before the run starts.
 
-Times in a file carry their unit in the field's name (``_s``, ``_ms``, ``_us``); a pair ``[low, high]`` is a
-range to draw from.  Unknown keys and impossible values raise ``ScenarioError``, one line that names the field.
+The names of time fields end with their unit (``_s``, ``_ms``, ``_us``); a pair ``[low, high]`` is a range from which
+values are drawn uniformly.  Unknown keys and invalid values raise ``ScenarioError``, a one-line message that names
+the field.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be run; the text is one plain line that names the field."""
+    """The scenario is invalid.  The message is one line that names the field."""
 
 
 class Struct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; a key that is not named here is an error."""
+    """A table of the file.  Unknown keys are an error."""
 
 
 class Nodes(Struct):
-    """The real nodes.  ``sockets`` and ``memory_mb`` are a node's limits as its configuration tells them."""
+    """The nodes of the fleet.  ``sockets`` and ``memory_mb`` are the limits in a node's configuration."""
 
     count: int = 3
     memory_mb: int = 192
     sockets: int = 1024
-    peers: bool = True  # whether nodes may send one another datagrams
+    peers: bool = True  # whether nodes may exchange datagrams
     second_copies: bool = True
     max_attempts: int = 6
     retry_after: bool = True
@@ -37,8 +38,8 @@
 
 
 class Choke(Struct):
-    """A server that holds more than ``at`` requests for ``over_s`` becomes ``factor`` times slower, until it has held
-    under ``below`` of them for ``rest_s``, or at most for ``most_s``."""
+    """Slowdown by overload.  A server that holds more than ``at`` requests for ``over_s`` becomes ``factor`` times
+    slower, until it has held fewer than ``below`` times ``at`` for ``rest_s``, or for at most ``most_s``."""
 
     at: int
     over_s: float = 2.0
@@ -49,7 +50,7 @@
 
 
 class Servers(Struct):
-    """A group of like cash servers.  Work is in microseconds on a core of speed 1."""
+    """A group of cash servers with equal properties.  Work is measured in microseconds on a core of speed 1."""
 
     count: int = 9
     machine: str = "standard"
@@ -62,17 +63,17 @@
     connections: int = 500
     connection_cost_us: float = 1000.0
     idle_s: float = 15.0
-    idle_told_s: float = 0.0  # what nodes are told of it; 0: the truth
+    idle_told_s: float = 0.0  # the value in the nodes' settings, where it differs; 0: idle_s
     idle_close: Literal["fin", "silent"] = "fin"
     cold_share: float = 0.2
     ramp_s: float = 20.0
     error_rate: float = 0.0
     keys_remembered: int = 20_000
-    choke: Choke | None = None  # how crowding makes one slow, if it does
+    choke: Choke | None = None  # None: overload does not slow the servers down
 
 
 class Class(Struct):
-    """A class of request, as the site's table has it."""
+    """A class of requests, as in the site's table of classes."""
 
     name: str
     share: float
@@ -89,7 +90,7 @@
 
 
 class Agent(Struct):
-    """A collecting agent, its share of what all may ask for, and how much of that it asks for beside the others."""
+    """A collecting agent, its share of the total quota, and its usage of that share relative to the other agents'."""
 
     name: str
     share: float
@@ -97,7 +98,7 @@
 
 
 class Load(Struct):
-    """What is asked.  ``rps`` over all nodes, or ``utilisation`` of the fleet's warm capacity."""
+    """Offered load: ``rps`` over all nodes, or ``utilisation`` of the servers' warm capacity."""
 
     rps: float = 0.0
     utilisation: float = 0.0
@@ -107,40 +108,41 @@
     burst_size: int = 8
     keys: int = 2000
     zipf: float = 1.0
-    hints: bool = True  # whether callers tell what a request will cost
-    hint_error: float = 0.1  # standard deviation of the log of hint over work
-    work_scale: float = 1.0  # of all classes' work and waits
-    quota_of_capacity: float = 0.85  # what the agents' shares are shares of
-    node_skew: float = 0.0  # standard deviation of the log of a node's part of the calls
+    hints: bool = True  # whether requests carry a hint of their cost
+    hint_error: float = 0.1  # standard deviation of ln(hint / work)
+    work_scale: float = 1.0  # factor on the work and waits of all classes
+    quota_of_capacity: float = 0.85  # total quota of the agents, as a share of the warm capacity
+    node_skew: float = 0.0  # standard deviation of the logarithm of a node's share of the calls
 
 
 class Callers(Struct):
-    """How clients behave when they are refused, fail or hear nothing."""
+    """How clients behave when a client attempt is refused, fails or gets no response."""
 
     retries: int = 1
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: Range = (20.0, 160.0)
-    honour: float = 0.6  # share that waits as long as Retry-After says
-    try_share: Range = (1.0, 1.0)  # of the class's deadline, for one try
-    impatient: float = 0.0  # share that closes its connection early
-    notice_s: float = 1.0  # until the front no longer sends to a dead node
-    connections: int = 200  # to one node, at most
+    honour: float = 0.6  # share of the calls whose callers obey Retry-After
+    try_share: Range = (1.0, 1.0)  # time limit of one client attempt, as a share of the class's deadline
+    impatient: float = 0.0  # share of the calls whose callers close the connection early
+    notice_s: float = 1.0  # time until callers stop sending to a dead node
+    connections: int = 200  # maximum to one node
     processes: int = 1
 
 
 class Discovery(Struct):
-    """``asked``: one service for all nodes that must be subscribed to; ``pushed``: an agent beside each."""
+    """Service discovery.  ``asked``: one service that all nodes subscribe to; ``pushed``: an agent on each node's
+    host pushes updates."""
 
     mode: Literal["asked", "pushed"] = "asked"
-    notice_s: Range = (0.5, 1.5)  # until a drain or a death is known
-    add_s: Range = (0.2, 0.8)  # until a new or returned server is listed
-    delay_ms: float = 5.0  # of each answer
-    calls_per_s: float = 0.0  # that it works through, one after another, for all nodes; 0: any number
-    timeout_ms: float = 1000.0  # a call that has waited so long for its turn ends with 503
+    notice_s: Range = (0.5, 1.5)  # delay until a drain or a death is known
+    add_s: Range = (0.2, 0.8)  # delay until a new or returned server is listed
+    delay_ms: float = 5.0  # response time of a call
+    calls_per_s: float = 0.0  # throughput over all nodes, serving one call after another; 0: unlimited
+    timeout_ms: float = 1000.0  # a call that has queued for this long ends with 503
 
 
 class Rules(Struct):
-    """The figures of the four rules."""
+    """Parameters of the rules that the audit checks."""
 
     answer_slack_ms: float = 50.0
     drain_grace_s: float = 1.0
@@ -149,7 +151,7 @@
     fall_multiple: float = 3.0
     fall_s: float = 1.5
     over_share_worth: float = 0.2
-    lateness_ms: float = 20.0  # p99 of the lab's own lateness beyond which a run gives no verdict
+    lateness_ms: float = 20.0  # a run whose lab is later than this at the 99th percentile has no valid verdict
 
 
 FaultKind = Literal[
@@ -157,7 +159,7 @@
     "grow", "discovery_gone", "discovery_silent", "discovery_break", "discovery_move",
     "node_term", "node_hup", "node_kill", "node_upgrade", "node_drain", "node_stop",
 ]
-# kind -> the fields that it needs, beyond at_s
+# Required fields of each kind, beside at_s.
 NEEDS: dict[str, tuple[str, ...]] = {
     "die": ("servers",), "vanish": ("servers", "for_s"), "slow": ("servers", "for_s", "factor"),
     "drain": ("servers",), "turn_away": ("servers", "for_s"), "reset": ("servers", "for_s"),
@@ -168,6 +170,7 @@
     "node_kill": ("nodes",), "node_upgrade": ("nodes",), "node_drain": ("nodes", "for_s"),
     "node_stop": ("nodes", "for_s"),
 }
+# Optional fields of each kind.
 OPTIONAL: dict[str, tuple[str, ...]] = {
     "die": ("back_s", "site"), "vanish": ("site",), "drain": ("back_s", "linger_s", "site"),
     "reset": ("share", "byte", "where"), "spoil": ("share", "how"), "hang": ("share",), "turn_away": ("share",),
@@ -178,8 +181,9 @@
 
 
 class Fault(Struct):
-    """One thing that goes wrong.  ``servers``: a count, or a share below 1, of ``site`` where one is named; ``byte``:
-    after how many bytes of the answer (``where = "answer"``) or of the request a connection is reset."""
+    """One fault.  ``servers``: how many are affected, a count or a share below 1, of ``site`` if that is given;
+    ``byte``: the number of bytes of the response (``where = "answer"``) or of the request after which a connection is
+    reset."""
 
     at_s: float
     kind: FaultKind
@@ -187,7 +191,7 @@
     over_s: float | None = None
     back_s: float | None = None
     linger_s: float | None = None
-    spread_s: float | None = None  # over which the nodes meet it, one after the other
+    spread_s: float | None = None  # the nodes are affected one after the other over this time
     servers: float | None = None
     site: str | None = None
     nodes: int | None = None
@@ -203,7 +207,7 @@
 
 
 class Scenario(Struct):
-    """A whole run."""
+    """The description of a run."""
 
     name: str
     length_s: float
@@ -236,151 +240,155 @@
 ]
 
 
-def _want(good: bool, field: str, text: str) -> None:
-    if not good:
+def _require(valid: bool, field: str, text: str) -> None:
+    if not valid:
         raise ScenarioError(f"{field}: {text}")
 
 
-def _range(pair: Range, field: str, least: float = 0.0) -> None:
-    _want(all(map(math.isfinite, pair)), field, "must be finite")
-    _want(least <= pair[0] <= pair[1], field, f"needs {least:g} <= low <= high, not {list(pair)}")
+def _require_range(pair: Range, field: str, minimum: float = 0.0) -> None:
+    _require(all(map(math.isfinite, pair)), field, "must be finite")
+    _require(minimum <= pair[0] <= pair[1], field, f"needs {minimum:g} <= low <= high, not {list(pair)}")
 
 
-def _above(value: float, field: str, least: float = 0.0) -> None:
-    _want(math.isfinite(value) and value > least, field, f"must be above {least:g}, not {value!r}")
+def _require_above(value: float, field: str, minimum: float = 0.0) -> None:
+    _require(math.isfinite(value) and value > minimum, field, f"must be above {minimum:g}, not {value!r}")
 
 
-def _share(value: float, field: str) -> None:
-    _want(0.0 <= value <= 1.0, field, f"must lie in 0 .. 1, not {value!r}")
+def _require_share(value: float, field: str) -> None:
+    _require(0.0 <= value <= 1.0, field, f"must be in 0 .. 1, not {value!r}")
 
 
 def _check_fault(f: Fault, i: int, s: Scenario) -> None:
     at = f"faults[{i}]"
-    _want(math.isfinite(f.at_s) and 0 <= f.at_s < s.length_s, f"{at}.at_s",
-          f"must lie in 0 .. length_s ({s.length_s:g}), not {f.at_s!r}")
+    _require(math.isfinite(f.at_s) and 0 <= f.at_s < s.length_s, f"{at}.at_s",
+             f"must be in 0 .. length_s ({s.length_s:g}), not {f.at_s!r}")
     for name in NEEDS[f.kind]:
-        _want(getattr(f, name) is not None, f"{at}.{name}", f"missing, a fault of kind {f.kind} needs it")
+        _require(getattr(f, name) is not None, f"{at}.{name}", f"missing, required for a fault of kind {f.kind}")
     known = {*NEEDS[f.kind], *OPTIONAL.get(f.kind, ()), "at_s", "kind"}
     for name in f.__struct_fields__:
         if getattr(f, name) is not None:
-            _want(name in known, f"{at}.{name}", f"means nothing for a fault of kind {f.kind}")
+            _require(name in known, f"{at}.{name}", f"not allowed for a fault of kind {f.kind}")
     for name in ("for_s", "over_s", "factor", "linger_s", "back_s", "spread_s"):
         value = getattr(f, name)
         if value is not None:
-            _above(value, f"{at}.{name}")
+            _require_above(value, f"{at}.{name}")
     if f.share is not None:
-        _share(f.share, f"{at}.share")
+        _require_share(f.share, f"{at}.share")
     if f.byte is not None:
-        _want(0 <= f.byte <= 1 << 20, f"{at}.byte", "must lie in 0 .. 1048576")
+        _require(0 <= f.byte <= 1 << 20, f"{at}.byte", "must be in 0 .. 1048576")
     if f.servers is not None:
         whole = f.servers >= 1 and f.servers == int(f.servers)
-        _want(whole or 0 < f.servers < 1, f"{at}.servers", f"a count, or a share below 1, not {f.servers!r}")
+        _require(whole or 0 < f.servers < 1, f"{at}.servers",
+                 f"must be a count, or a share below 1, not {f.servers!r}")
         total = sum(g.count for g in s.servers)
-        _want(f.kind == "grow" or f.servers < 1 or f.servers <= total, f"{at}.servers",
-              f"there are only {total}")
+        _require(f.kind == "grow" or f.servers < 1 or f.servers <= total, f"{at}.servers",
+                 f"there are only {total} servers")
     if f.site is not None:
-        _want(any(f.site in g.sites[:g.count] for g in s.servers), f"{at}.site", f"no server stands at {f.site!r}")
+        _require(any(f.site in g.sites[:g.count] for g in s.servers), f"{at}.site", f"no server in {f.site!r}")
     if f.nodes is not None:
-        _want(1 <= f.nodes <= s.nodes.count, f"{at}.nodes", f"must lie in 1 .. {s.nodes.count}")
+        _require(1 <= f.nodes <= s.nodes.count, f"{at}.nodes", f"must be in 1 .. {s.nodes.count}")
     if f.agent is not None:
-        _want(f.agent in {a.name for a in s.agents}, f"{at}.agent", f"no agent is called {f.agent!r}")
+        _require(f.agent in {a.name for a in s.agents}, f"{at}.agent", f"there is no agent {f.agent!r}")
     for name in f.classes or ():
-        _want(name in {c.name for c in s.classes}, f"{at}.classes", f"no class is called {name!r}")
+        _require(name in {c.name for c in s.classes}, f"{at}.classes", f"there is no class {name!r}")
     if f.keys is not None:
-        _want(f.keys >= 1, f"{at}.keys", "must be at least 1")
+        _require(f.keys >= 1, f"{at}.keys", "must be at least 1")
 
 
 def check(s: Scenario) -> Scenario:
-    """The scenario with its defaults filled in; raises ``ScenarioError`` if it can't be run."""
+    """The scenario with its defaults filled in.  Raises ``ScenarioError`` if it is invalid."""
     s = msgspec.structs.replace(
         s, classes=s.classes or COUNTER_CLASSES, agents=s.agents or COUNTER_AGENTS
     )
-    _above(s.length_s, "length_s")
-    _want(s.length_s <= 3600, "length_s", "an hour at most")
-    _want(1 <= s.nodes.count <= 400, "nodes.count", "must lie in 1 .. 400")
-    _want(s.nodes.memory_mb >= 64, "nodes.memory_mb", "at least 64")
-    _want(s.nodes.sockets >= 64, "nodes.sockets", "at least 64")
-    _want(s.nodes.max_attempts >= 1, "nodes.max_attempts", "at least 1")
-    _above(s.nodes.connect_timeout_ms, "nodes.connect_timeout_ms")
-    _want(bool(s.servers), "servers", "at least one group is needed")
+    _require_above(s.length_s, "length_s")
+    _require(s.length_s <= 3600, "length_s", "must be at most 3600 (an hour)")
+    _require(1 <= s.nodes.count <= 400, "nodes.count", "must be in 1 .. 400")
+    _require(s.nodes.memory_mb >= 64, "nodes.memory_mb", "must be at least 64")
+    _require(s.nodes.sockets >= 64, "nodes.sockets", "must be at least 64")
+    _require(s.nodes.max_attempts >= 1, "nodes.max_attempts", "must be at least 1")
+    _require_above(s.nodes.connect_timeout_ms, "nodes.connect_timeout_ms")
+    _require(bool(s.servers), "servers", "at least one group is needed")
     for i, g in enumerate(s.servers):
         at = f"servers[{i}]"
-        _want(1 <= g.count <= 1000, f"{at}.count", "must lie in 1 .. 1000")
-        _want(g.cores >= 1, f"{at}.cores", "at least 1")
-        _want(bool(g.sites), f"{at}.sites", "at least one site is needed")
-        _want(g.cell_size >= 1, f"{at}.cell_size", "at least 1")
-        _range(g.speed, f"{at}.speed")
-        _above(g.speed[0], f"{at}.speed")
-        _above(g.slots_per_core, f"{at}.slots_per_core")
-        _want(g.queue_per_core >= 0, f"{at}.queue_per_core", "must not be negative")
-        _want(g.connections >= 1, f"{at}.connections", "at least 1")
-        _want(g.connection_cost_us >= 0, f"{at}.connection_cost_us", "must not be negative")
-        _above(g.idle_s, f"{at}.idle_s")
-        _want(g.idle_told_s >= 0, f"{at}.idle_told_s", "must not be negative")
-        _want(0 < g.cold_share <= 1, f"{at}.cold_share", "must lie above 0 and at most 1")
-        _above(g.ramp_s, f"{at}.ramp_s")
-        _share(g.error_rate, f"{at}.error_rate")
-        _want(g.keys_remembered >= 1, f"{at}.keys_remembered", "at least 1")
+        _require(1 <= g.count <= 1000, f"{at}.count", "must be in 1 .. 1000")
+        _require(g.cores >= 1, f"{at}.cores", "must be at least 1")
+        _require(bool(g.sites), f"{at}.sites", "at least one site is needed")
+        _require(g.cell_size >= 1, f"{at}.cell_size", "must be at least 1")
+        _require_range(g.speed, f"{at}.speed")
+        _require_above(g.speed[0], f"{at}.speed")
+        _require_above(g.slots_per_core, f"{at}.slots_per_core")
+        _require(g.queue_per_core >= 0, f"{at}.queue_per_core", "must not be negative")
+        _require(g.connections >= 1, f"{at}.connections", "must be at least 1")
+        _require(g.connection_cost_us >= 0, f"{at}.connection_cost_us", "must not be negative")
+        _require_above(g.idle_s, f"{at}.idle_s")
+        _require(g.idle_told_s >= 0, f"{at}.idle_told_s", "must not be negative")
+        _require(0 < g.cold_share <= 1, f"{at}.cold_share", "must be above 0 and at most 1")
+        _require_above(g.ramp_s, f"{at}.ramp_s")
+        _require_share(g.error_rate, f"{at}.error_rate")
+        _require(g.keys_remembered >= 1, f"{at}.keys_remembered", "must be at least 1")
         if g.choke is not None:
-            _want(g.choke.at >= 1, f"{at}.choke.at", "at least 1")
+            _require(g.choke.at >= 1, f"{at}.choke.at", "must be at least 1")
             for name in ("over_s", "factor", "rest_s", "most_s"):
-                _above(getattr(g.choke, name), f"{at}.choke.{name}")
-            _share(g.choke.below, f"{at}.choke.below")
+                _require_above(getattr(g.choke, name), f"{at}.choke.{name}")
+            _require_share(g.choke.below, f"{at}.choke.below")
     for what, rows in (("classes", s.classes), ("agents", s.agents)):
         names = [row.name for row in rows]
-        _want(len(set(names)) == len(names), what, "a name comes twice")
-        _want(all(name and name.isascii() and name.isprintable() for name in names), what, "a name is empty or odd")
-        _want(all(row.share >= 0 for row in rows) and sum(row.share for row in rows) > 0, f"{what}.share",
-              "shares must not be negative, nor all 0")
+        _require(len(set(names)) == len(names), what, "names must be unique")
+        _require(all(name and name.isascii() and name.isprintable() for name in names), what,
+                 "names must be printable ASCII and not empty")
+        _require(all(row.share >= 0 for row in rows) and sum(row.share for row in rows) > 0, f"{what}.share",
+                 "shares must not be negative, nor all 0")
     for a in s.agents:
-        _want(math.isfinite(a.usage) and 0 < a.usage <= 100, f"agents[{a.name}].usage", "must lie above 0, to 100")
+        _require(math.isfinite(a.usage) and 0 < a.usage <= 100, f"agents[{a.name}].usage",
+                 "must be above 0 and at most 100")
     for c in s.classes:
         at = f"classes[{c.name}]"
-        _range(c.work_ms, f"{at}.work_ms")
-        _above(c.work_ms[0], f"{at}.work_ms")
-        _range(c.wait_ms, f"{at}.wait_ms")
-        _above(c.aim_ms, f"{at}.aim_ms")
-        _above(c.deadline_ms, f"{at}.deadline_ms")
-        _want(c.worth >= 0, f"{at}.worth", "must not be negative")
-        _share(c.late_worth, f"{at}.late_worth")
-        _want(c.effect != "dedup" or c.window_ms > 0, f"{at}.window_ms", "a keyed class needs a window above 0")
-        _want(0 <= c.body_bytes <= 65536, f"{at}.body_bytes", "must lie in 0 .. 65536")
+        _require_range(c.work_ms, f"{at}.work_ms")
+        _require_above(c.work_ms[0], f"{at}.work_ms")
+        _require_range(c.wait_ms, f"{at}.wait_ms")
+        _require_above(c.aim_ms, f"{at}.aim_ms")
+        _require_above(c.deadline_ms, f"{at}.deadline_ms")
+        _require(c.worth >= 0, f"{at}.worth", "must not be negative")
+        _require_share(c.late_worth, f"{at}.late_worth")
+        _require(c.effect != "dedup" or c.window_ms > 0, f"{at}.window_ms",
+                 "a class with effect dedup needs a window above 0")
+        _require(0 <= c.body_bytes <= 65536, f"{at}.body_bytes", "must be in 0 .. 65536")
     load = s.load
-    _want((load.rps > 0) != (load.utilisation > 0), "load.rps", "give either rps or utilisation, above 0")
-    _want(load.rps * s.length_s <= 3e6, "load.rps", "over three million requests in one run")
-    _want(load.utilisation <= 10, "load.utilisation", "10 at most")
-    _want(0 <= load.swing < 1, "load.swing", "must lie in 0 .. 1")
-    _want(load.bursts_per_s >= 0 and load.burst_size >= 1, "load.bursts_per_s", "must not be negative")
-    _want(load.keys >= 1, "load.keys", "at least 1")
-    _want(load.zipf >= 0, "load.zipf", "must not be negative")
-    _want(load.hint_error >= 0, "load.hint_error", "must not be negative")
-    _above(load.work_scale, "load.work_scale")
-    _above(load.quota_of_capacity, "load.quota_of_capacity")
-    _want(0 <= load.node_skew <= 2, "load.node_skew", "must lie in 0 .. 2")
+    _require((load.rps > 0) != (load.utilisation > 0), "load.rps", "give either rps or utilisation, above 0")
+    _require(load.rps * s.length_s <= 3e6, "load.rps", "more than three million requests in one run")
+    _require(load.utilisation <= 10, "load.utilisation", "must be at most 10")
+    _require(0 <= load.swing < 1, "load.swing", "must be in 0 .. 1")
+    _require(load.bursts_per_s >= 0 and load.burst_size >= 1, "load.bursts_per_s", "must not be negative")
+    _require(load.keys >= 1, "load.keys", "must be at least 1")
+    _require(load.zipf >= 0, "load.zipf", "must not be negative")
+    _require(load.hint_error >= 0, "load.hint_error", "must not be negative")
+    _require_above(load.work_scale, "load.work_scale")
+    _require_above(load.quota_of_capacity, "load.quota_of_capacity")
+    _require(0 <= load.node_skew <= 2, "load.node_skew", "must be in 0 .. 2")
     cl = s.callers
-    _want(0 <= cl.retries <= 10, "callers.retries", "must lie in 0 .. 10")
-    _range(cl.backoff_ms, "callers.backoff_ms")
-    _share(cl.honour, "callers.honour")
-    _share(cl.impatient, "callers.impatient")
-    _range(cl.try_share, "callers.try_share")
-    _want(0 < cl.try_share[0] and cl.try_share[1] <= 1, "callers.try_share", "must lie above 0 and at most 1")
-    _want(cl.connections >= 1, "callers.connections", "at least 1")
-    _want(1 <= cl.processes <= 16, "callers.processes", "must lie in 1 .. 16")
-    _want(cl.notice_s >= 0, "callers.notice_s", "must not be negative")
-    _range(s.discovery.notice_s, "discovery.notice_s")
-    _range(s.discovery.add_s, "discovery.add_s")
-    _want(0 <= s.discovery.delay_ms <= 1000, "discovery.delay_ms", "must lie in 0 .. 1000")
-    _want(s.discovery.calls_per_s >= 0, "discovery.calls_per_s", "must not be negative")
-    _above(s.discovery.timeout_ms, "discovery.timeout_ms")
+    _require(0 <= cl.retries <= 10, "callers.retries", "must be in 0 .. 10")
+    _require_range(cl.backoff_ms, "callers.backoff_ms")
+    _require_share(cl.honour, "callers.honour")
+    _require_share(cl.impatient, "callers.impatient")
+    _require_range(cl.try_share, "callers.try_share")
+    _require(0 < cl.try_share[0] and cl.try_share[1] <= 1, "callers.try_share", "must be above 0 and at most 1")
+    _require(cl.connections >= 1, "callers.connections", "must be at least 1")
+    _require(1 <= cl.processes <= 16, "callers.processes", "must be in 1 .. 16")
+    _require(cl.notice_s >= 0, "callers.notice_s", "must not be negative")
+    _require_range(s.discovery.notice_s, "discovery.notice_s")
+    _require_range(s.discovery.add_s, "discovery.add_s")
+    _require(0 <= s.discovery.delay_ms <= 1000, "discovery.delay_ms", "must be in 0 .. 1000")
+    _require(s.discovery.calls_per_s >= 0, "discovery.calls_per_s", "must not be negative")
+    _require_above(s.discovery.timeout_ms, "discovery.timeout_ms")
     for name in s.rules.__struct_fields__:
-        _above(getattr(s.rules, name), f"rules.{name}")
+        _require_above(getattr(s.rules, name), f"rules.{name}")
     for i, f in enumerate(s.faults):
         _check_fault(f, i, s)
-    return from_json(to_json(s))  # as its children will read it: 24 and 24.0 are one there
+    return from_json(to_json(s))  # so that it equals what child processes decode: JSON makes 24 and 24.0 the same
 
 
 def parse(text: str) -> Scenario:
-    """A scenario from TOML."""
+    """Parse and check a scenario in TOML.  Raises ``ScenarioError`` if it is invalid."""
     try:
         return check(msgspec.toml.decode(text, type=Scenario))
     except ScenarioError:
@@ -394,7 +402,7 @@
 
 
 def load(path: Path) -> Scenario:
-    """A scenario from a file; ``ScenarioError`` also where it can't be read."""
+    """Read a scenario from a TOML file.  Raises ``ScenarioError`` if it is invalid or can't be read."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -403,9 +411,10 @@
 
 
 def to_json(s: Scenario) -> bytes:
-    """For a child process, or to print; ``from_json`` reads it."""
+    """The scenario as JSON, for a child process or for output; ``from_json`` decodes it."""
     return msgspec.json.encode(s)
 
 
 def from_json(data: bytes | str) -> Scenario:
+    """Decode the output of ``to_json``, without the checks of ``check``."""
     return msgspec.json.decode(data, type=Scenario)
--- a/headspar/world/server.py
+++ b/headspar/world/server.py
@@ -1,8 +1,9 @@
-"""What a cash server does with a request, its faults and its keys included; without I/O or clock.
+"""Request handling of a cash server, including injected faults and idempotency keys.
 
-The host (a server on sockets, or one in simulated time) hands each whole request to ``request`` and does what the
-answer says; it asks ``next_at`` when to call ``advance``, which names the requests whose answers are due, and
-``finish`` says what goes out for each.  Every request leaves a line in the shared ledger.
+Performs no I/O and reads no clock.  The host (a server on sockets, or one in simulated time) passes each complete
+request to ``request`` and acts on the returned ``Reaction``.  It calls ``advance`` at the time that ``next_at`` names
+to get the requests whose responses are due, and ``finish`` decides what is sent for each.  Every request has a row in
+the shared ledger.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from headspar.world.records import Fate, Mark, Sent, Start
 from headspar.world.scenario import Scenario
 
-REPEAT_WORK_US = 200
-SILENT_AFTER_US = 1_000_000  # of idleness, while the fault that drops connections silently holds
+REPEAT_WORK_US = 200  # work of answering a duplicate
+SILENT_AFTER_US = 1_000_000  # idle time after which the fault "idle_silent" drops a connection without a FIN
 
 
 class Ledger:
-    """What the servers of a run share: the plan, the keys that groups remember, what they write down."""
+    """State that the servers of a run share: the plan, the remembered keys of each group, and the records."""
 
     def __init__(self, scenario: Scenario, plan: Plan) -> None:
         self.scenario, self.plan = scenario, plan
@@ -30,20 +31,20 @@
         self.memories: dict[tuple[int, str, int], KeyMemory] = {}
 
     def memory(self, cls: int, server: ServerPlan) -> KeyMemory | None:
-        """The keys of a class that a server's group remembers; None for a class without keys."""
+        """The key memory of a class in the server's group; None for a class without keys."""
         spec = self.scenario.classes[cls]
         if spec.effect != "dedup":
             return None
         place = ("", 0) if spec.group == "all" else (server.site, server.cell if spec.group == "cell" else 0)
         found = self.memories.get((cls, *place))
         if found is None:
-            most = max(g.keys_remembered for g in self.scenario.servers)
-            found = self.memories[cls, *place] = KeyMemory(int(spec.window_ms * 1000), most)
+            max_keys = max(g.keys_remembered for g in self.scenario.servers)
+            found = self.memories[cls, *place] = KeyMemory(int(spec.window_ms * 1000), max_keys)
         return found
 
 
-    def heir(self, row: Sent, cls: int, server: ServerPlan) -> Sent | None:
-        """The first request that came after ``row`` as its repeat, and was answered so or may still be."""
+    def first_duplicate(self, row: Sent, cls: int, server: ServerPlan) -> Sent | None:
+        """The first request after ``row`` that is its duplicate and was answered as such, or may still be."""
         found = None
         memory = self.memory(cls, server)
         plans = {p.id: p for p in self.plan.servers}
@@ -57,7 +58,7 @@
 
 
 class Faults:
-    """What is wrong with a server just now: a share of its requests meets each."""
+    """Faults that are active at a server.  Each has the share of requests that it affects."""
 
     __slots__ = ("turn_away", "reset", "reset_byte", "reset_where", "spoil", "how", "hang", "idle_silent")
 
@@ -69,7 +70,7 @@
         self.idle_silent = False
 
     def apply(self, step: Step) -> None:
-        """A step of the plan that concerns answers or idle connections; others change nothing here."""
+        """Apply a step of the plan.  Steps that concern neither responses nor idle connections change nothing."""
         mend = step.kind == "mend"
         kind = step.text if mend else step.kind
         share = 0.0 if mend else step.share
@@ -86,16 +87,16 @@
 
 
 class Reaction(Enum):
-    """What a whole request meets."""
+    """What the server does with a complete request."""
 
-    WORK = "work"  # it is taken; ``advance`` will name it
-    TURNED_AWAY = "turned away"  # to be answered so at once
-    HUNG = "hung"  # taken, and never answered
-    FELL = "fell"  # the machine is pushed over by it, and its process ends
+    WORK = "work"  # accepted; ``advance`` will return it
+    TURNED_AWAY = "turned away"  # rejected at once
+    HUNG = "hung"  # accepted, and never answered
+    FELL = "fell"  # it overloads the cold machine, whose process exits
 
 
 class Job:
-    """A request at the server: its line in the ledger, and its number at the machine (-1: not there)."""
+    """A request at the server: its row in the ledger, and its number at the machine (-1: not there)."""
 
     __slots__ = ("row", "number")
 
@@ -104,18 +105,18 @@
 
 
 class Server:
-    """One cash server over its deaths and returns."""
+    """One cash server over all its processes."""
 
     def __init__(self, ledger: Ledger, plan: ServerPlan) -> None:
         self.ledger, self.plan = ledger, plan
-        self.machine: Machine | None = None  # None: its process is down
+        self.machine: Machine | None = None  # None while no process runs
         self.faults = Faults()
         self.rng = random.Random(f"{ledger.plan.seed}/{plan.id}")
         self.jobs: dict[int, Job] = {}
         self.serial = 0
 
     def start(self, now: int, cold: bool) -> None:
-        """A new process: cold, if the run is under way."""
+        """Start a new process at ``now``; ``cold``: with a slow start."""
         rules = self.ledger.scenario.rules
         self.machine = Machine(self.plan, now, now if cold else None, rules.fall_multiple, int(rules.fall_s * 1e6),
                                self.ledger.plan.mean_us)
@@ -124,7 +125,7 @@
             self.ledger.starts.append(Start(self.plan.id, now))
 
     def stop(self) -> None:
-        """The process ends; the host has told of each request what became of it."""
+        """End the process.  The host has already reported the outcome of each request."""
         self.machine = None
         self.jobs.clear()
 
@@ -134,7 +135,7 @@
             job.row.began_at = now
 
     def request(self, job: Job, now: int) -> Reaction:
-        """The last byte of a request has come, and its line stands in ``job``; advanced to ``now`` already."""
+        """Handle a request whose last byte has arrived; the server has been advanced to ``now`` before."""
         machine, row = self.machine, job.row
         assert machine is not None
         call = self.ledger.plan.calls[row.call]
@@ -158,18 +159,18 @@
         return Reaction.WORK
 
     def advance(self, now: int) -> list[Job]:
-        """Go on to ``now``; the requests whose work has ended since, in their order."""
+        """Advance to ``now``; returns the requests whose work has completed since, in order of completion."""
         if self.machine is None:
             return []
         done = [self.jobs.pop(number, None) for number, _ in self.machine.advance(now)]
         return [job for job in done if job is not None]
 
     def next_at(self) -> int | None:
-        """When something ends if nothing else happens."""
+        """When to call ``advance`` next if no other event happens; None if nothing is pending."""
         return self.machine.next_at() if self.machine is not None else None
 
     def finish(self, row: Sent) -> Fate:
-        """What goes out for a request whose work has ended: DIED for a reset, SPOILT, ERROR, DONE or REPEAT."""
+        """The outcome of a request whose work has completed: DIED (reset), SPOILT, ERROR, DONE or REPEAT."""
         f = self.faults
         if f.reset and f.reset_where == "answer" and self.rng.random() < f.reset:
             return Fate.DIED
@@ -180,7 +181,7 @@
         return Fate.DONE if row.effect else Fate.REPEAT
 
     def call_off(self, job: Job, fate: Fate, now: int) -> None:
-        """A request ends without an answer; one that was called off before it began has had no effect."""
+        """End a request without a response.  One that is cancelled before its work began has had no effect."""
         row, number = job.row, job.number
         self.jobs.pop(number, None)
         if row.fate is Fate.OPEN:
@@ -196,19 +197,19 @@
             memory = self.ledger.memory(cls, self.plan)
             if memory is None:
                 return
-            heir = self.ledger.heir(row, cls, self.plan)
-            if heir is not None:  # what was answered as its repeat has had the effect in its stead
-                heir.effect = True
+            duplicate = self.ledger.first_duplicate(row, cls, self.plan)
+            if duplicate is not None:  # the request that was answered as its duplicate has had the effect instead
+                duplicate.effect = True
             else:
                 memory.forget(receipt_key(self.ledger.plan.salt, row.call))
 
     def request_is_reset(self) -> bool:
-        """Whether a request that begins now is to be reset after ``faults.reset_byte`` of its bytes."""
+        """Whether to reset the connection of a request that begins now, after ``faults.reset_byte`` bytes of it."""
         f = self.faults
         return f.reset_where == "request" and f.reset > 0 and self.rng.random() < f.reset
 
     def idle_limit(self) -> tuple[int, bool]:
-        """How long a connection may stand idle, and whether it is then dropped without a word."""
+        """The idle timeout of connections (us), and whether they are then dropped without a FIN."""
         if self.faults.idle_silent:
             return min(self.plan.idle_us, SILENT_AFTER_US), True
         return self.plan.idle_us, self.plan.silent
--- a/tests/model/test_gate.py
+++ b/tests/model/test_gate.py
@@ -67,7 +67,7 @@
 
 def test_a_site_that_no_server_stands_at_is_named() -> None:
     fault = Fault(at_s=1, kind="die", servers=ALL, site="cusco")
-    with pytest.raises(ValueError, match=r"faults\[0\].site: no server stands at 'cusco'"):
+    with pytest.raises(ValueError, match=r"faults\[0\].site: no server in 'cusco'"):
         check(Scenario(name="x", length_s=4, faults=[fault]))
 
 
--- a/tests/world/test_machine.py
+++ b/tests/world/test_machine.py
@@ -69,7 +69,7 @@
     assert not m.cancel(10_000, 0)
     done = ends(m)
     assert sorted(done) == [1, 2, 3, 4]
-    assert m.load() == (0, 0) and m.in_work == 0
+    assert m.load() == (0, 0) and m.in_service == 0
 
 
 def test_draining_takes_nothing_new_and_ends_what_it_has() -> None:
@@ -133,7 +133,7 @@
             off += 1
         held, queued = m.load()
         assert held + queued == len(live) == len(m.jobs) and 0 <= held <= PLAN.slots and queued <= PLAN.queue
-        assert 0 <= m.in_work <= held
+        assert 0 <= m.in_service <= held
     finished += len(ends(m))
     assert taken == finished + off and taken > 5_000 and m.load() == (0, 0)
 
