--- a/headspar/world/comeback.py
+++ b/headspar/world/comeback.py
@@ -186,16 +186,16 @@
         return "refused after attempts" if of_last else "refused unsent"
     if last.status != 200:
         return "failed after attempts" if of_last else "failed unsent"
-    made = next((s for s in of_last if s.fate in (Fate.DONE, Fate.REPEAT)), None)
+    served = next((s for s in of_last if s.fate in (Fate.DONE, Fate.REPEAT)), None)
     duration = last.ended_at - tries[0].sent_at
-    if made is None or 2 * (sends[0].arrived_at - tries[0].sent_at) > duration:
+    if served is None or 2 * (sends[0].arrived_at - tries[0].sent_at) > duration:
         return "late before its first attempt"
-    if made is not sends[0]:
+    if served is not sends[0]:
         return "late after other attempts"
-    c = truth.at(made.server, made.arrived_at)
+    c = truth.at(served.server, served.arrived_at)
     if c.slow > 1.0 or c.away > 0.0:
         return "late at a bad server"
-    return "late at a cold server" if truth.share(made.server, made.arrived_at) < COLD_BELOW else "late elsewhere"
+    return "late at a cold server" if truth.share(served.server, served.arrived_at) < COLD_BELOW else "late elsewhere"
 
 
 class _RunningNodes:
@@ -300,22 +300,22 @@
     for mark in recording.marks:
         if mark.what == "node_start":
             starts[mark.target].append(mark.at)
-    told: dict[tuple[str, str], list[tuple[int, int, str]]] = defaultdict(list)
+    notified: dict[tuple[str, str], list[tuple[int, int, str]]] = defaultdict(list)
     for t in recording.told:
         if not t.presumed:
-            told[t.node, t.server].append((t.at, t.version, t.state))
-    for rows in told.values():
+            notified[t.node, t.server].append((t.at, t.version, t.state))
+    for rows in notified.values():
         rows.sort()
     out: dict[str, int] = defaultdict(int)
     for s in recording.sent:
         newest, state, since = -1, "ready", 0
         process_start = max((at for at in starts.get(s.node, ()) if at <= s.arrived_at), default=0)
-        for at, version, said in told.get((s.node, s.server), ()):
+        for at, version, reported in notified.get((s.node, s.server), ()):
             if at > s.arrived_at:
                 break
             # A process need not know what an earlier one was notified of: it is notified of its initial list again.
             if at >= process_start - SECOND and version >= newest:
-                newest, state, since = version, said, since if said == state else at
+                newest, state, since = version, reported, since if reported == state else at
         if state != "ready" and since <= s.arrived_at - PROCESSING_US:
             out[f"sent to a server told {state}"] += 1
     kinds = audit(recording).kinds
--- a/tests/comeback/test_for_people.py
+++ b/tests/comeback/test_for_people.py
@@ -1,4 +1,5 @@
-"""What ``headspar model comeback`` shows and ends with; the lab's command is the same but for who plays."""
+"""Tests of the output and exit status of ``headspar model comeback``.  The lab's command shares all but the run
+itself."""
 
 from __future__ import annotations
 
@@ -14,18 +15,19 @@
 
 
 def test_tables_a_picture_and_json(tmp_path: Path) -> None:
-    picture, figures = tmp_path / "c.png", tmp_path / "c.json"
-    r = CliRunner().invoke(app, ["model", "comeback", *SMALL, "--picture", str(picture), "--json", str(figures)])
+    picture, json_file = tmp_path / "c.png", tmp_path / "c.json"
+    r = CliRunner().invoke(app, ["model", "comeback", *SMALL, "--picture", str(picture), "--json", str(json_file)])
     assert r.exit_code == 0, r.output
-    for part in ("full service, s from the failure", "lost to (mean", "calls to discovery", "causes of loss by second"):
+    for part in ("full service, s from the failure", "lost to (mean", "calls to discovery",
+                 "causes of loss by second"):
         assert part in r.output
     assert picture.read_bytes().startswith(b"\x89PNG")
-    line, = figures.read_text().splitlines()
-    raw = json.loads(line)
-    assert [d["seed"] for d in raw["draws"]] == [1, 2] and raw["rules_broken"] == 0
-    worst = [d["full_s"] for d in raw["draws"]]
-    assert raw["summary"]["full_s"]["worst"] == (None if None in worst else max(worst))
-    assert raw["blow"]["nodes"] == 6 and set(raw["summary"]["stale"]) == set()
+    line, = json_file.read_text().splitlines()
+    report = json.loads(line)
+    assert [d["seed"] for d in report["draws"]] == [1, 2] and report["rules_broken"] == 0
+    worst = [d["full_s"] for d in report["draws"]]
+    assert report["summary"]["full_s"]["worst"] == (None if None in worst else max(worst))
+    assert report["blow"]["nodes"] == 6 and set(report["summary"]["stale"]) == set()
 
 
 @pytest.mark.parametrize("options", [
@@ -35,5 +37,5 @@
 def test_an_option_that_is_no_good_is_named_in_a_line_with_status_2(options: list[str]) -> None:
     r = CliRunner().invoke(app, ["model", "comeback", *SMALL, *options])
     assert r.exit_code == 2
-    said = r.output + (r.stderr or "")
-    assert any(word in said for word in (options[0], options[0].removeprefix("--"), "/no/such", "node_stop"))
+    output = r.output + (r.stderr or "")
+    assert any(text in output for text in (options[0], options[0].removeprefix("--"), "/no/such", "node_stop"))
--- a/tests/counts.py
+++ b/tests/counts.py
@@ -1,4 +1,4 @@
-"""Counts over the records of a run, the lab's or the model's."""
+"""Counters over the records of a run of the lab or the model."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Ran(Protocol):
-    """What a run gave."""
+    """Result of a run, of the lab or the model."""
 
     recording: Recording
 
--- a/tests/fleet/test_count.py
+++ b/tests/fleet/test_count.py
@@ -1,4 +1,4 @@
-"""Counts over a fleet from flight records: rows made by hand, then those of real nodes held against the lab's own."""
+"""Tests of fleet statistics, on hand-made rows and on records of real nodes, compared with the lab's records."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
                {"connections": 1, "calls": calls, "datagrams": 2})
 
 
-def fleet(nodes: int = 10, struck: int = 7, blow: int = 6 * S, away: int = 2 * S, ill: int = 3 * S,
+def fleet(nodes: int = 10, failing: int = 7, failed_at: int = 6 * S, away: int = 2 * S, degraded: int = 3 * S,
           length: int = 20 * S, wall: int = 0) -> Count:
-    """``struck`` of them write nothing for ``away`` from the blow on; until ``ill`` after it every other try of the
-    rest is refused."""
+    """Statistics of hand-made records.  From the failure on, ``failing`` nodes write nothing for ``away``, and for
+    ``degraded`` half of the other nodes' client attempts are refused."""
     c = FleetCounter()
     for n in range(nodes):
         name = f"n{n}"
         c.begin_record(name, 0, wall)
         for at in range(0, length, DT):
-            if n < struck and blow <= at < blow + away:
+            if n < failing and failed_at <= at < failed_at + away:
                 continue
-            if n < struck and at == blow + away:
+            if n < failing and at == failed_at + away:
                 c.begin_record(name, at, wall)
-            bad = blow <= at < blow + ill
-            calls = int(at == blow + away)
+            bad = failed_at <= at < failed_at + degraded
+            calls = int(at == failed_at + away)
             c.add_row(name, row(at, served=5 if bad else 10, acc=0.2 if bad else 0.8, calls=calls), wall)
     return c.count()
 
@@ -55,9 +55,9 @@
 def test_a_blow_is_seen_in_the_records_and_full_service_is_timed_from_it(wall: int) -> None:
     c = fleet(wall=wall)
     assert (c.nodes, c.silences, c.struck) == (10, 7, 7)
-    assert c.blow_s == pytest.approx(5.8) and c.before == 1.0  # from the last row that is there
+    assert c.blow_s == pytest.approx(5.8) and c.before == 1.0  # the time of the last row before the failure
     assert c.full_s == pytest.approx(3.2, abs=0.15)
-    assert c.from_start_s == (pytest.approx(1.0, abs=0.15) if wall else None)  # starts are told by the time of day
+    assert c.from_start_s == (pytest.approx(1.0, abs=0.15) if wall else None)  # known only with a wall clock
     assert c.starts == (17 if wall else 0)
     assert [s.nodes for s in c.table[5:9]] == [10, 3, 3, 10] and c.table[6].served == 0.5
     assert c.table[6].refused == 0.5 and c.table[6].shut == 1.0 and c.table[10].shut == 0.0
@@ -76,7 +76,7 @@
         c.begin_record(f"n{n}", 0, S)
         for at in range(0, 10 * S, DT):
             c.add_row(f"n{n}", row(at), S)
-        c.begin_record(f"n{n}", 8 * S, S)  # read after the older half, though it began before that ended
+        c.begin_record(f"n{n}", 8 * S, S)  # read after the older half, although the process began before that ended
         for at in range(8 * S + DT, 20 * S, DT):
             c.add_row(f"n{n}", row(at), S)
         with pytest.raises(CountError, match="two nodes of one name"):
@@ -89,17 +89,17 @@
     c = fleet()
     assert (c.peaks["calls"].most, c.peaks["calls"].at_s, c.peaks["calls"].over_steady) == (10, 8.0, 0.0)
     assert c.peaks["firsts"].most == 100 and c.peaks["firsts"].over_steady == pytest.approx(1.0)
-    assert c.in_step == {"shut": 7, "opened": 10}  # those struck shut on their return, 0.2 s of three others at once
+    assert c.in_step == {"shut": 7, "opened": 10}  # the failed ones refuse on return, all stop at once
 
 
 def test_few_silent_nodes_are_no_blow_and_a_relapse_is_not_full_service() -> None:
-    c = fleet(nodes=30, struck=2)
+    c = fleet(nodes=30, failing=2)
     assert c.blow_s is None and c.full_s is None and c.silences == 2
-    assert fleet(ill=13 * S).full_s is None  # fewer than five seconds are left
+    assert fleet(degraded=13 * S).full_s is None  # fewer than five seconds of the run are left
 
 
 def test_a_blow_with_nothing_before_it_says_nothing_of_full_service() -> None:
-    c = fleet(blow=1 * S)
+    c = fleet(failed_at=1 * S)
     assert c.blow_s is not None and c.full_s is None
 
 
@@ -135,16 +135,16 @@
     assert counter.rows == 3000 and peak < size / 2
 
 
-@pytest.mark.parametrize(("text", "says"), [
+@pytest.mark.parametrize(("text", "expected"), [
     ("", "no flight record"), ("hello\n", "line 1: no JSON"), ("[1,2]\n", "first line is missing"),
     ("x" * 9_000_000, "line 1: no JSON"),
     ('{"headspar":"flight","version":2,"node":"n0"}\n[1]\n', "line 2: a row has 18 fields"),
 ])
-def test_a_file_that_is_none_of_ours_is_one_line_and_status_2(text: str, says: str, tmp_path: Path) -> None:
+def test_a_file_that_is_none_of_ours_is_one_line_and_status_2(text: str, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "f"
     path.write_text(text)
     r = CliRunner().invoke(app, ["fleet", "count", str(path)])
-    assert r.exit_code == 2 and says in r.stderr and len(r.stderr.strip().splitlines()) == 1
+    assert r.exit_code == 2 and expected in r.stderr and len(r.stderr.strip().splitlines()) == 1
     r = CliRunner().invoke(app, ["fleet", "count", str(tmp_path / "none")])
     assert r.exit_code == 2
 
@@ -158,17 +158,18 @@
     r = CliRunner().invoke(app, ["fleet", "count", *files, "--json", "-"])
     assert r.exit_code == 0, r.output
     raw = json.loads(r.stdout)
-    of, seen = raw["totals"], result.recording
-    killed = {m.target for m in seen.marks if m.what == "node_kill"}
+    totals, recorded = raw["totals"], result.recording
+    killed = {m.target for m in recorded.marks if m.what == "node_kill"}
     assert raw["nodes"] == 6 and raw["starts"] == 6 + len(killed) and raw["struck"] == len(killed) == 4
-    blow = next(m.at for m in seen.marks if m.what == "node_kill")
+    failed_at = next(m.at for m in recorded.marks if m.what == "node_kill")
     assert raw["blow_s"] is not None and raw["full_s"] is not None and raw["before"] > 0.8
-    # What a killed node had not written down yet is a second of it at most, and nothing else is missing.
+    # A killed node loses at most the last second, which it had not written yet; nothing else may be missing.
     lost_s = 1.5
-    for name, rows in (("connections", [at for at, _ in seen.accepted]), ("calls", [at for at, _ in seen.asked]),
-                       ("attempts", [x.arrived_at for x in seen.sent])):
-        unwritten = sum(blow - lost_s * S <= at <= blow + S / 2 for at in rows)
-        assert len(rows) - unwritten <= of[name] <= len(rows) * 1.1 + 20, name
-    assert set(HOST) < set(of) and len(cli.app.registered_commands) == 1
+    for name, rows in (("connections", [at for at, _ in recorded.accepted]),
+                       ("calls", [at for at, _ in recorded.asked]),
+                       ("attempts", [x.arrived_at for x in recorded.sent])):
+        unwritten = sum(failed_at - lost_s * S <= at <= failed_at + S / 2 for at in rows)
+        assert len(rows) - unwritten <= totals[name] <= len(rows) * 1.1 + 20, name
+    assert set(HOST) < set(totals) and len(cli.app.registered_commands) == 1
     shown = CliRunner().invoke(app, ["fleet", "count", *files])
     assert shown.exit_code == 0 and "mass failure at" in shown.output and "in the same 200 ms" in shown.output
--- a/tests/world/test_audit.py
+++ b/tests/world/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit without sockets: each way to break a rule is caught and named, and what is allowed is not."""
+"""Tests of the audit on hand-made records: each kind of violation is reported by name, allowed behaviour is not."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def recording() -> Recording:
-    """Nothing but a run that the lab can vouch for: four calls, one of each class, served."""
+    """A reliable recording without violations: four calls, one of each class, all served."""
     rules = Rulebook(
         answer_slack_us=50 * MS, drain_grace_us=S, fall_multiple=3.0, fall_us=1500 * MS, max_attempts=3,
         second_copies=True, over_share_worth=0.2, lateness_us=20 * MS, began_at=0, length_us=20 * S,
@@ -52,8 +52,8 @@
     return r
 
 
-def again(r: Recording, call: int, after_ms: float, server: str = "s2", fate: Fate = Fate.DONE) -> Sent:
-    """One more attempt of a call, so long after the first."""
+def add_attempt(r: Recording, call: int, after_ms: float, server: str = "s2", fate: Fate = Fate.DONE) -> Sent:
+    """Add an attempt of a call, ``after_ms`` after its first one."""
     first = next(s for s in r.sent if s.call == call)
     at = first.arrived_at + int(after_ms * MS)
     sent = Sent(call, 0, server, "n1", at, at + 20 * MS, fate, 30 * MS, fate is Fate.DONE)
@@ -63,7 +63,8 @@
     return sent
 
 
-def caught(r: Recording, rule: str, kind: str) -> Verdict:
+def assert_violation(r: Recording, rule: str, kind: str) -> Verdict:
+    """The audit reports exactly one violation, of this rule and kind."""
     v = audit(r)
     assert v.valid, v.doubts
     assert v.kinds == {f"{rule}: {kind}": 1}, v.kinds
@@ -73,17 +74,18 @@
     return v
 
 
-def clean(r: Recording) -> None:
+def assert_clean(r: Recording) -> None:
+    """The verdict is valid and has no violations."""
     v = audit(r)
     assert v.clean, (v.doubts, v.kinds)
 
 
 def test_a_run_in_order_is_clean_and_survives_its_encoding() -> None:
-    clean(recording())
-    clean(decode(encode(recording())))
+    assert_clean(recording())
+    assert_clean(decode(encode(recording())))
 
 
-# ---------------------------------------------------------------- rule 1
+# ---------------------------------------------------------------- lost
 
 
 @pytest.mark.parametrize(("changes", "kind"), [
@@ -97,67 +99,68 @@
 def test_a_lost_request_is_caught(changes: dict[str, object], kind: str) -> None:
     r = recording()
     r.asks[0] = msgspec.structs.replace(r.asks[0], **changes)
-    v = caught(r, "lost", kind)
+    v = assert_violation(r, "lost", kind)
     assert (v.violations[0].call, v.violations[0].node) == (0, "n1")
 
 
-def stood(r: Recording, since: int, until: int) -> None:
+def pause(r: Recording, since: int, until: int) -> None:
+    """Pause the process of n1 between the two times."""
     r.marks += [Mark(since, "node_stop", "n1"), Mark(until, "node_cont", "n1")]
 
 
 def test_a_node_that_stands_still_is_excused_until_it_goes_on_and_no_longer() -> None:
     r = recording()
     r.asks[0] = msgspec.structs.replace(r.asks[0], end=End.NONE, ended_at=1300 * MS)
-    stood(r, 500 * MS, 4 * S)
+    pause(r, 500 * MS, 4 * S)
     v = audit(r)
     assert v.clean and v.excused == 1
     r.asks[0] = msgspec.structs.replace(r.asks[0], end=End.ANSWER, ended_at=4200 * MS)
-    assert audit(r).clean  # at once when it goes on
+    assert audit(r).clean  # answered right after the node resumes
     r.asks[0].ended_at = 4500 * MS
-    caught(r, "lost", "answered late")
+    assert_violation(r, "lost", "answered late")
     r = recording()
     r.asks[0] = msgspec.structs.replace(r.asks[0], end=End.NONE, ended_at=1300 * MS)
-    stood(r, 2 * S, 4 * S)  # it had had its time
-    caught(r, "lost", "no answer")
+    pause(r, 2 * S, 4 * S)  # the pause begins after the request's deadline
+    assert_violation(r, "lost", "no answer")
 
 
 def test_what_is_sent_on_after_its_time_is_caught_also_after_a_standstill() -> None:
     r = recording()
     r.asks[0] = msgspec.structs.replace(r.asks[0], end=End.NONE, ended_at=1300 * MS)
-    stood(r, 500 * MS, 4 * S)
+    pause(r, 500 * MS, 4 * S)
     r.sent[0].arrived_at, r.sent[0].ended_at = 4010 * MS, 4050 * MS
-    caught(r, "lost", "sent after its time")
+    assert_violation(r, "lost", "sent after its time")
 
 
 def test_an_answer_that_no_server_made_is_caught() -> None:
     r = recording()
     r.sent[0].fate = Fate.TURNED_AWAY
-    caught(r, "lost", "served with what no server made")
+    assert_violation(r, "lost", "served with what no server made")
     del r.sent[0]
-    caught(r, "lost", "served with what no server made")
+    assert_violation(r, "lost", "served with what no server made")
 
 
 @pytest.mark.parametrize("end", [End.ANSWER, End.LEFT])
 def test_what_is_sent_after_the_end_is_caught(end: End) -> None:
     r = recording()
     r.asks[0].end = end
-    again(r, 0, 300)
+    add_attempt(r, 0, 300)
     r.asks[0].ended_at = 100 * MS
-    caught(r, "lost", "sent after its answer" if end is End.ANSWER else "sent after its caller left")
+    assert_violation(r, "lost", "sent after its answer" if end is End.ANSWER else "sent after its caller left")
 
 
 def test_what_a_killed_node_held_is_excused_and_only_that() -> None:
     r = recording()
     r.asks[0] = msgspec.structs.replace(r.asks[0], end=End.CLOSED)
     r.marks = [Mark(60 * MS, "node_kill", "n2")]
-    caught(r, "lost", "closed unanswered")
+    assert_violation(r, "lost", "closed unanswered")
     r.marks = [Mark(60 * MS, "node_kill", "n1")]
     assert audit(r).clean and audit(r).excused == 1
     r.marks = [Mark(60 * MS, "node_term", "n1")]
     assert audit(r).counts["lost"] == 1
     r.marks = [Mark(5 * S, "node_kill", "n1")]
     assert audit(r).counts["lost"] == 1
-    # It was still dying when the request came; but not for longer than a second.
+    # A killed process may still accept a request until it exits, but for at most a second.
     at = r.asks[0].sent_at
     r.marks = [Mark(at - 500 * MS, "node_kill", "n1"), Mark(at + MS, "node_exit", "n1")]
     assert audit(r).clean and audit(r).excused == 1
@@ -169,7 +172,7 @@
     r = recording()
     r.asks[0].end = End.CROSSED
     del r.sent[0]
-    clean(r)
+    assert_clean(r)
     assert audit(r).taken == 3
 
 
@@ -180,56 +183,56 @@
     r.asks[2].status = 502
     r.asks[3] = msgspec.structs.replace(r.asks[3], end=End.UNCONNECTED, sent_at=0)
     r.sent = r.sent[:3]
-    clean(r)
+    assert_clean(r)
 
 
-# ---------------------------------------------------------------- rule 2
+# ---------------------------------------------------------------- duplicated
 
 
 def test_an_unsafe_one_sent_again_is_caught_unless_it_never_ran() -> None:
     r = recording()
-    again(r, CREW, 95)
-    v = caught(r, "duplicated", "unsafe sent again")
+    add_attempt(r, CREW, 95)
+    v = assert_violation(r, "duplicated", "unsafe sent again")
     assert v.violations[0].server == "s2"
     for fate in (Fate.ERROR, Fate.DIED, Fate.CALLED_OFF, Fate.SPOILT, Fate.HUNG):
         r.sent[CREW].fate = fate
         assert audit(r).counts["duplicated"] == 1
     r.sent[CREW].fate = Fate.TURNED_AWAY
-    clean(r)
+    assert_clean(r)
 
 
 def test_an_unsafe_one_sent_again_before_it_was_known_never_to_have_run_is_caught() -> None:
     r = recording()
-    again(r, CREW, 50)
+    add_attempt(r, CREW, 50)
     r.sent[CREW].fate = Fate.TURNED_AWAY
-    caught(r, "duplicated", "unsafe sent again")
+    assert_violation(r, "duplicated", "unsafe sent again")
 
 
 def test_a_keyed_one_outside_its_window_or_group_is_caught() -> None:
     r = recording()
     r.asks[PAY].budget_us = 5 * S
-    again(r, PAY, 1240)
-    clean(r)
-    again(r, PAY, 1300)
-    caught(r, "duplicated", "repeated outside its window")
+    add_attempt(r, PAY, 1240)
+    assert_clean(r)
+    add_attempt(r, PAY, 1300)
+    assert_violation(r, "duplicated", "repeated outside its window")
     r = recording()
     r.sent[BATCH].fate = Fate.DIED
-    again(r, BATCH, 95)
-    caught(r, "duplicated", "repeated outside its group")
+    add_attempt(r, BATCH, 95)
+    assert_violation(r, "duplicated", "repeated outside its group")
     r.sent[-1].server = "s1"
-    clean(r)
+    assert_clean(r)
     r.sent[-1].server, r.sent[BATCH].fate = "s2", Fate.TURNED_AWAY
-    clean(r)
+    assert_clean(r)
 
 
 def test_the_group_of_a_cell_is_narrower_than_its_site() -> None:
     r = recording()
     r.rules.classes[BATCH] = msgspec.structs.replace(CLASSES[BATCH], group="cell")
     r.rules.servers["s2"] = ServerRule("x", 1, 2 * S, 0.2, 20 * S)
-    again(r, BATCH, 95)
-    caught(r, "duplicated", "repeated outside its group")
+    add_attempt(r, BATCH, 95)
+    assert_violation(r, "duplicated", "repeated outside its group")
     r.rules.classes[BATCH] = CLASSES[BATCH]
-    clean(r)
+    assert_clean(r)
 
 
 @pytest.mark.parametrize(("call", "guilty"), [(LOOK, False), (PAY, False), (BATCH, True), (CREW, True)])
@@ -241,59 +244,59 @@
     r.asks[call].status = status
     r.sent[call].fate = Fate.DIED
     if guilty:
-        caught(r, "duplicated", "refused after it may have run")
+        assert_violation(r, "duplicated", "refused after it may have run")
     else:
-        clean(r)
+        assert_clean(r)
     r.sent[call].fate = Fate.TURNED_AWAY
-    clean(r)
+    assert_clean(r)
 
 
 def test_too_many_attempts_changes_on_the_way_and_strangers_are_caught() -> None:
     r = recording()
     for i in range(3):
-        again(r, LOOK, 20 * i + 25)
-    caught(r, "duplicated", "too many attempts")
+        add_attempt(r, LOOK, 20 * i + 25)
+    assert_violation(r, "duplicated", "too many attempts")
     r = recording()
     r.sent[0].key_ok = False
-    caught(r, "duplicated", "changed on the way")
+    assert_violation(r, "duplicated", "changed on the way")
     r = recording()
     r.sent.append(Sent(1, 5, "s1", "n1", 3 * S, 3 * S + MS, Fate.DONE, 30 * MS, True))
-    caught(r, "duplicated", "never asked")
+    assert_violation(r, "duplicated", "never asked")
 
 
 def test_what_comes_under_an_id_that_nobody_made_is_caught() -> None:
     r = recording()
     r.strangers = 1
-    caught(r, "duplicated", "of an unknown id")
+    assert_violation(r, "duplicated", "of an unknown id")
 
 
 def test_two_out_at_once_are_caught_where_copies_are_forbidden() -> None:
     r = recording()
-    again(r, LOOK, 30)
-    clean(r)
+    add_attempt(r, LOOK, 30)
+    assert_clean(r)
     r.rules.second_copies = False
-    caught(r, "duplicated", "two out at once")
+    assert_violation(r, "duplicated", "two out at once")
 
 
 def test_effects_are_counted_by_call() -> None:
     r = recording()
-    again(r, PAY, 95)
+    add_attempt(r, PAY, 95)
     assert effects_per_key(r) == {PAY: 2, BATCH: 1}
 
 
-# ---------------------------------------------------------------- rule 3
+# ---------------------------------------------------------------- drain
 
 
 def test_a_send_after_the_grace_is_caught_and_named() -> None:
     r = recording()
     r.told = [Told("n1", "s1", 900 * MS, "draining", 0, False, 2)]
     r.sent = [msgspec.structs.replace(s, server="s2") if s.call > 1 else s for s in r.sent]
-    clean(r)  # call 1 went out 101 ms after the telling
+    assert_clean(r)  # call 1 is sent 101 ms after the notification, within the grace period
     r.sent[2].server = "s1"
-    v = caught(r, "drain", "sent after the grace")
+    v = assert_violation(r, "drain", "sent after the grace")
     assert (v.violations[0].server, v.violations[0].node, v.violations[0].call) == ("s1", "n1", 2)
-    r.told[0].node = "n2"  # another node was told, this one was not
-    clean(r)
+    r.told[0].node = "n2"  # another node was notified, this one was not
+    assert_clean(r)
 
 
 def test_a_server_that_is_ready_again_may_be_sent_to() -> None:
@@ -301,10 +304,10 @@
     r.told = [Told("n1", "s1", -5 * S, "gone", 0, False, 2)]
     assert audit(r).counts["drain"] == 4
     r.told.append(Told("n1", "s1", -S, "ready", 0, False, 3))
-    clean(r)
-    # what counts as told later, but is older than what was told, says nothing new
+    assert_clean(r)
+    # A presumed notification of an older list version is ignored.
     r.told.append(Told("n1", "s1", 0, "gone", 0, True, 2))
-    clean(r)
+    assert_clean(r)
     r.told[-1].version = 4
     assert audit(r).counts["drain"] == 2
 
@@ -313,14 +316,14 @@
     r = recording()
     r.told = [Told("n1", "s1", -5 * S, "gone", 0, False, 2)]
     r.marks = [Mark(-2 * S, "node_kill", "n1"), Mark(-S, "node_start", "n1")]
-    clean(r)
+    assert_clean(r)
 
 
-# ---------------------------------------------------------------- rule 4
+# ---------------------------------------------------------------- cold
 
 
 def burst(r: Recording, count: int, every_ms: float, node: str = "n1") -> None:
-    """So many requests of 30 ms of work for s2, which starts cold at 4 s: 1.8 s of work is its budget."""
+    """Add ``count`` requests of 30 ms of work for s2, which starts cold at 4 s with a budget of 1.8 s of work."""
     r.starts = [Start("s2", 4 * S)]
     for i in range(count):
         at = 4 * S + 10 * MS + int(i * every_ms * MS)
@@ -334,57 +337,58 @@
     r = recording()
     burst(r, 80, 5)
     r.told = [Told("n1", "s2", 4 * S + MS, "ready", 4 * S, False, 2)]
-    v = caught(r, "cold", "pushed over")
+    v = assert_violation(r, "cold", "pushed over")
     assert v.violations[0].server == "s2" and v.cold_peak_ratio > 1.2
 
 
 def test_a_cold_server_that_is_flooded_with_light_requests_is_caught_by_their_number() -> None:
-    """A full-size day broke the rule so: light requests came in heavy ones' stead, 2.8 times the part by number."""
+    """Within the budget of work, light requests can exceed the allowed number of requests (by 2.8 times in one
+    full-size run)."""
     r = recording()
     burst(r, 40, 5)
     for s in r.sent:
         s.work_us = 5 * MS
     r.told = [Told("n1", "s2", 4 * S + MS, "ready", 4 * S, False, 2)]
-    clean(r)  # the mean of a request's work isn't known
+    assert_clean(r)  # the mean work of a request is unknown
     r.rules.mean_us = 100_000.0
-    v = caught(r, "cold", "pushed over")
+    v = assert_violation(r, "cold", "pushed over")
     assert "40 requests" not in v.violations[0].text and "requests within" in v.violations[0].text
     assert v.cold_peak_ratio < 1.0 < v.cold_number_ratio
     r.told = []
-    clean(r)
+    assert_clean(r)
 
 
 def test_the_same_work_spread_out_is_no_flood() -> None:
     r = recording()
     burst(r, 250, 40)
     r.told = [Told("n1", "s2", 4 * S + MS, "ready", 4 * S, False, 2)]
-    clean(r)
+    assert_clean(r)
     assert 0.0 < audit(r).cold_peak_ratio < 1.0
 
 
 def test_nodes_that_were_not_told_of_a_start_are_not_to_blame() -> None:
     r = recording()
     burst(r, 80, 5)
-    clean(r)
+    assert_clean(r)
     assert audit(r).cold_peak_ratio > 1.2
     r.told = [Told("n2", "s2", 4 * S + MS, "ready", 4 * S, False, 2)]
-    clean(r)
+    assert_clean(r)
 
 
-# ---------------------------------------------------------------- crashes, and what the lab can vouch for
+# ---------------------------------------------------------------- crash, and reliability of the recording
 
 
 def test_a_node_that_ends_by_itself_is_caught() -> None:
     r = recording()
     r.marks = [Mark(S, "node_exit", "n1", "ended with status 1")]
-    assert "status 1" in caught(r, "crash", "ended by itself").violations[0].text
+    assert "status 1" in assert_violation(r, "crash", "ended by itself").violations[0].text
     r.marks.insert(0, Mark(S - 1, "node_term", "n1"))
-    clean(r)
+    assert_clean(r)
     r.marks += [Mark(2 * S, "node_start", "n1"), Mark(3 * S, "node_exit", "n1")]
-    caught(r, "crash", "ended by itself")
+    assert_violation(r, "crash", "ended by itself")
 
 
-@pytest.mark.parametrize("spoil", [
+@pytest.mark.parametrize("damage", [
     lambda r: r.asks.clear(),
     lambda r: r.missing.append("fleet"),
     lambda r: r.lateness.clear(),
@@ -394,9 +398,9 @@
     lambda r: r.lateness.append(Lateness("discovery", 9, 0, 21 * MS, 30 * MS)),
     lambda r: r.sent.append(Sent(99, 0, "s1", "n1", 0, 0, Fate.DONE, 0, True)),
 ])
-def test_a_run_that_the_lab_cannot_vouch_for_gives_no_verdict(spoil: object) -> None:
+def test_a_run_that_the_lab_cannot_vouch_for_gives_no_verdict(damage: object) -> None:
     r = recording()
-    spoil(r)  # type: ignore[operator]
+    damage(r)  # type: ignore[operator]
     v = audit(r)
     assert not v.valid and not v.clean and v.doubts
 
@@ -407,7 +411,7 @@
     v = audit(r)
     assert not v.valid and v.counts["lost"] == 0 and "answered late" in v.doubts[0]
     r.asks[0].ended_at = BUDGET + 53 * MS
-    caught(r, "lost", "answered late")
+    assert_violation(r, "lost", "answered late")
 
 
 def test_a_flood_of_violations_is_counted_whole_and_listed_in_part() -> None:
@@ -422,7 +426,7 @@
 def test_what_only_counts_as_told_waits_for_a_node_that_stood_still() -> None:
     r = recording()
     r.rules.length_us = 40 * S
-    r.told.append(Told("n1", "s1", 10 * S, "draining", 0, True, 2))  # discovery knew at 4 s
+    r.told.append(Told("n1", "s1", 10 * S, "draining", 0, True, 2))  # known to discovery since 4 s
     r.marks += [Mark(3 * S, "node_stop", "n1"), Mark(11 * S, "node_cont", "n1")]
 
     def send(at: int, node: str = "n1") -> None:
@@ -431,9 +435,9 @@
         r.asks.append(Ask(call, 0, node, at, at, BUDGET, at + 100 * MS, End.ANSWER, 200))
         r.sent.append(Sent(call, 0, "s1", node, at + MS, at + 90 * MS, Fate.DONE, 30 * MS, True))
 
-    send(17 * S + 900 * MS)  # 6 s of its own running, and the grace
-    clean(r)
+    send(17 * S + 900 * MS)  # 6 s of running time without the pause, and the grace period
+    assert_clean(r)
     send(18 * S + 200 * MS)
-    caught(r, "drain", "sent after the grace")
-    r.told[0] = Told("n1", "s1", 10 * S, "draining", 0, False, 2)  # written to its socket: it has to be read first
+    assert_violation(r, "drain", "sent after the grace")
+    r.told[0] = Told("n1", "s1", 10 * S, "draining", 0, False, 2)  # delivered to its socket: read on resuming
     assert audit(r).kinds["drain: sent after the grace"] == 2
--- a/tests/world/test_comeback.py
+++ b/tests/world/test_comeback.py
@@ -1,4 +1,4 @@
-"""Coming back, measured from records made by hand: the moment, the causes, the peaks, what was stale."""
+"""Tests of the recovery measures on hand-made records: time to full service, causes, peaks, stale decisions."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 from headspar.world.records import Ask, CallRule, End, Fate, Mark, Recording, Sent, Told
 from tests.world.test_audit import MS, S, recording
 
-BLOW = 6 * S
+FAILED_AT = 6 * S
 
 
 def run(lost_until: int = 0, status: int = 503, every: int = 20 * MS, length: int = 20 * S) -> Recording:
-    """A call each 20 ms, served in 100 ms by s1; of those from the blow until ``lost_until`` every other is not."""
+    """A call every 20 ms, served in 100 ms by s1.  Of those between the failure and ``lost_until`` every second one
+    ends with ``status`` instead."""
     r = recording()
     r.asks, r.sent, r.rules.calls = [], [], []
     for i in range(length // every):
         at = i * every
         r.rules.calls.append(CallRule(0, 0, 30 * MS))
-        bad = BLOW <= at < lost_until and i % 2 == 0
+        bad = FAILED_AT <= at < lost_until and i % 2 == 0
         end = at + (5 * MS if bad and status == 503 else 100 * MS)
         r.asks.append(Ask(i, 0, "n1", at, at, S, end, End.ANSWER, status if bad else 200))
         if not bad or status != 503:
             fate = Fate.ERROR if bad else Fate.DONE
             r.sent.append(Sent(i, 0, "s1", "n1", at + MS, at + 90 * MS, fate, 30 * MS, True))
-    r.marks += [Mark(-S, "node_start", "n1"), Mark(-S, "node_start", "n2"), Mark(BLOW, "node_kill", "n2"),
-                Mark(BLOW + MS, "node_exit", "n2"), Mark(BLOW + 1500 * MS, "node_start", "n2")]
+    r.marks += [Mark(-S, "node_start", "n1"), Mark(-S, "node_start", "n2"), Mark(FAILED_AT, "node_kill", "n2"),
+                Mark(FAILED_AT + MS, "node_exit", "n2"), Mark(FAILED_AT + 1500 * MS, "node_start", "n2")]
     r.rules.quota_rps = 1000.0
     return r
 
@@ -51,7 +52,7 @@
     assert c.lost_s == pytest.approx(1.5, rel=0.1) and list(c.causes) == ["refused unsent"]
     assert [round(row.share, 2) for row in c.rows[:5]] == [0.5, 0.5, 0.5, 1.0, 1.0]
     assert [row.nodes for row in c.rows[:3]] == [1, 2, 2]
-    for a in r.asks:  # a relapse within the five seconds, and it is not back yet
+    for a in r.asks:  # with a relapse within the following five seconds it is not full service yet
         if 11 * S <= a.planned_at < 12 * S:
             a.status = 500
     assert comeback(r).full_s == pytest.approx(6.0, abs=0.15)
@@ -59,7 +60,7 @@
 
 def test_what_a_reference_does_not_serve_either_is_not_asked_for() -> None:
     r = run(lost_until=20 * S)
-    assert full_service_time(r, BLOW) is None and comeback(r).full_s is None
+    assert full_service_time(r, FAILED_AT) is None and comeback(r).full_s is None
     assert comeback(r, run(lost_until=20 * S)).full_s == 0.0
     later = run(lost_until=20 * S)
     assert comeback(r, later).lost_s == 0.0
@@ -75,20 +76,20 @@
 ])
 def test_causes_of_what_was_not_sent(change: dict[str, object], cause: str) -> None:
     r = run()
-    i = next(i for i, a in enumerate(r.asks) if a.planned_at >= BLOW)
+    i = next(i for i, a in enumerate(r.asks) if a.planned_at >= FAILED_AT)
     r.sent = [s for s in r.sent if s.call != i]
     for name, value in change.items():
         setattr(r.asks[i], name, value)
     assert cause in comeback(r).rows[0].lost
     if change.get("end") is End.NONE:
-        r.marks.append(Mark(BLOW, "node_stop", "n1"))
+        r.marks.append(Mark(FAILED_AT, "node_stop", "n1"))
         assert "stood still with its node" in comeback(r).rows[0].lost
 
 
 def test_causes_of_what_was_sent() -> None:
     def why(**more: object) -> set[str]:
         r = run()
-        i = next(i for i, a in enumerate(r.asks) if a.planned_at >= BLOW)
+        i = next(i for i, a in enumerate(r.asks) if a.planned_at >= FAILED_AT)
         a = r.asks[i]
         s = next(s for s in r.sent if s.call == i)
         a.ended_at = a.sent_at + 900 * MS
@@ -126,10 +127,10 @@
 
 def test_peaks_are_held_against_before_and_against_what_there_is() -> None:
     r = run()
-    r.asked = [(i * 500 * MS, "n1") for i in range(40)] + [(BLOW + i * MS, "n2") for i in range(6)]
+    r.asked = [(i * 500 * MS, "n1") for i in range(40)] + [(FAILED_AT + i * MS, "n2") for i in range(6)]
     r.accepted = [(S, "s1")] + [(7 * S + i * 10 * MS, "s1") for i in range(15)]
     r.rules.servers["s1"].connection_cost_us = 4000
-    p = find_peaks(r, BLOW, 10 * S, 8.0)
+    p = find_peaks(r, FAILED_AT, 10 * S, 8.0)
     calls = p["calls to discovery"]
     assert calls.most == 7 and calls.over_steady == pytest.approx(7 / 0.4)
     assert calls.over_capacity == pytest.approx(7 / 1.6)
@@ -137,23 +138,23 @@
     assert made.most == 15 and made.over_capacity == pytest.approx(15 * 4000 / (2 * S * 0.2)) and made.at == 7 * S
     assert p["work at one server"].over_capacity == pytest.approx(10 * 30 * MS / (2 * S * 0.2))
     assert p["callers' repeats"].most == 0 == p["attempts after the first"].most
-    late = find_peaks(r, BLOW, 6 * S + 500 * MS, 8.0)
-    assert late["handshakes"].most == 0, "what comes after the span is not looked at"
+    late = find_peaks(r, FAILED_AT, 6 * S + 500 * MS, 8.0)
+    assert late["handshakes"].most == 0, "events after the span do not count"
 
 
 def test_an_attempt_that_rested_on_an_old_entry_is_stale() -> None:
     r = run()
-    told = Told("n1", "s1", 8 * S, "draining", 0, False, 5)
-    r.told = [Told("n1", "s1", 0, "ready", 0, False, 1), told, Told("n1", "s1", 9 * S, "ready", 0, False, 6)]
+    drained = Told("n1", "s1", 8 * S, "draining", 0, False, 5)
+    r.told = [Told("n1", "s1", 0, "ready", 0, False, 1), drained, Told("n1", "s1", 9 * S, "ready", 0, False, 6)]
     late = stale_decisions(r)["sent to a server told draining"]
-    assert late == pytest.approx(45, abs=1), "those between 100 ms after the word and the next one"
+    assert late == pytest.approx(45, abs=1), "those from 100 ms after the notification to the next one"
     r.told[1] = Told("n1", "s1", 8 * S, "draining", 0, True, 5)
-    assert stale_decisions(r) == {}, "what only counts as told may never have come"
+    assert stale_decisions(r) == {}, "a presumed notification may never have arrived"
     r.told[1] = Told("n2", "s1", 8 * S, "draining", 0, False, 5)
-    assert stale_decisions(r) == {}, "another node's word"
+    assert stale_decisions(r) == {}, "another node was notified"
     r.told[1] = Told("n1", "s1", 8 * S, "draining", 0, False, 0)
-    assert stale_decisions(r) == {}, "an older list, that came late"
-    r.told = [told]
+    assert stale_decisions(r) == {}, "an older list version that arrived late"
+    r.told = [drained]
     r.marks.append(Mark(8 * S + 500 * MS, "node_start", "n1"))
     r.told.append(Told("n1", "s1", 8 * S + 500 * MS, "ready", 0, False, 5))
     assert stale_decisions(r)["sent to a server told draining"] == pytest.approx(20, abs=1)
@@ -175,9 +176,9 @@
     s = scenario(Blow(nodes=12, length_s=18.0, calls_per_s=4.0), 3)
     plan = draw(s, 3)
     calm = unstruck(plan)
-    assert calm.calls == plan.calls and len(calm.steps) == len(plan.steps) - 16  # eight nodes, struck and back
-    struck = [step.at for step in plan.steps if step.kind == "node_kill"]
-    assert len(struck) == 8 and 0 < max(struck) - min(struck) < 200 * MS
+    assert calm.calls == plan.calls and len(calm.steps) == len(plan.steps) - 16  # eight nodes, killed and started
+    kills = [step.at for step in plan.steps if step.kind == "node_kill"]
+    assert len(kills) == 8 and 0 < max(kills) - min(kills) < 200 * MS
     r, without = simulate(s, 3, plan=plan), simulate(s, 3, plan=calm)
     c = comeback(r.recording, without.recording, s.discovery.calls_per_s)
     assert c.full_s is not None and c.full_s < 6 and c.stale == {}
--- a/tests/world/test_machine.py
+++ b/tests/world/test_machine.py
@@ -1,4 +1,5 @@
-"""The cash server's model: sharing, queue, warm-up, the fall, and remembered keys."""
+"""Tests of the cash server's queueing model: processor sharing, queue, slow start, overload failure, choking and
+remembered keys."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 
 def ends(m: Machine) -> dict[int, int]:
-    """Run to the end; number -> time."""
+    """Run until the machine is idle; returns completion times by request number."""
     out: dict[int, int] = {}
     while (due := m.next_at()) is not None:
         out.update(m.advance(due))
@@ -65,7 +66,7 @@
     for i in range(6):
         m.arrive(0, i, 20_000, 0)
     m.advance(10_000)
-    assert m.cancel(10_000, 0) and not m.cancel(10_000, 5)  # one in work, one that had not begun
+    assert m.cancel(10_000, 0) and not m.cancel(10_000, 5)  # one in service, one still queued
     assert not m.cancel(10_000, 0)
     done = ends(m)
     assert sorted(done) == [1, 2, 3, 4]
@@ -90,14 +91,14 @@
 
 
 def test_more_than_its_budget_pushes_a_cold_machine_over() -> None:
-    # 3 x (2 cores x 0.2) x 1.5 s = 1.8 s of work, and a tenth for chance
+    # The budget is 3 x (2 cores x 0.2) x 1.5 s = 1.8 s of work, and FALL_SLACK of a tenth on top.
     m = machine(started_at=0)
     assert not any(m.push(1000 * i, 100_000) for i in range(19))
     assert m.push(20_000, 100_000) and m.fallen and not m.room()
 
 
 def test_more_requests_than_its_budget_of_mean_ones_push_a_cold_machine_over_however_light() -> None:
-    # 1.8 s of work are eighteen requests of 100 ms: 18 + 2 x root of 18 + 2
+    # 1.8 s of work are 18 requests of 100 ms: the limit is 18 + 2 sqrt(18) + 2.
     assert fall_number(1_800_000, 100_000) == pytest.approx(28.485, abs=0.01)
     m = Machine(PLAN, 0, 0, 3.0, 1_500_000, 100_000)
     assert not any(m.push(1000 * i, 1000) for i in range(28))
@@ -159,7 +160,7 @@
 
 def test_one_that_is_crowded_for_too_long_becomes_slow_and_less_load_alone_does_not_mend_it() -> None:
     m = Machine(CHOKES, 0, None, 3.0, 1_500_000)
-    for i in range(5):  # two cores: each gets on at 0.5 while four work
+    for i in range(5):  # two cores: each progresses at 0.5 while four are in service
         assert m.arrive(0, i, 2_000_000 if i < 4 else 10_000, 0)
     m.advance(900_000)
     assert not m.choked
@@ -167,7 +168,7 @@
     assert m.choked and m.slowness == 3.0
     for i in (2, 3, 4):
         m.cancel(1_100_000, i)
-    # It holds two, half of four, which is not under the half: it stays slow.
+    # It holds two, which is half of four and not below it: it stays slow.
     m.advance(2_500_000)
     assert m.choked
     m.cancel(2_500_000, 1)
@@ -175,7 +176,7 @@
     assert m.choked
     m.advance(3_050_000)
     assert not m.choked and m.slowness == 1.0
-    # 1.0 s at half a core, then at a third of it for 0.1, two alone at a third for 1.9 s, and whole at the end.
+    # Request 0 ran 1.0 s at half a core, 0.1 s at a third of that, 1.9 s at a third of a core, then at full speed.
     done = ends(m)
     assert done[0] == pytest.approx(3_000_000 + 2_000_000 - 500_000 - 50_000 / 3 - 1_900_000 / 3, abs=200)
 
--- a/tests/world/test_plan.py
+++ b/tests/world/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan: the same for the same seed, and what the scenario says."""
+"""Tests of plan generation: a plan is reproducible from its seed and follows its scenario."""
 
 from __future__ import annotations
 
@@ -67,16 +67,16 @@
     quiet = [c for c in p.calls if c.at < 5_000_000]
     assert len(quiet) == pytest.approx(1000, rel=0.15)
     names = [a.name for a in parse(BASE).agents]
-    kiosk = names.index("agent-h")
+    flooding = names.index("agent-h")
 
-    def of_kiosk(start: int) -> int:
-        return sum(c.agent == kiosk and start <= c.at < start + 5_000_000 for c in p.calls)
+    def calls_of_flooding(start: int) -> int:
+        return sum(c.agent == flooding and start <= c.at < start + 5_000_000 for c in p.calls)
 
-    assert of_kiosk(10_000_000) > 8 * of_kiosk(0)
+    assert calls_of_flooding(10_000_000) > 8 * calls_of_flooding(0)
     hot = Counter(c.target for c in p.calls if 5_000_000 <= c.at < 10_000_000)
     assert hot["r02000"] == pytest.approx(0.21 * sum(hot.values()), rel=0.3)
     last = sum(c.at >= 27_000_000 for c in p.calls)
-    assert last > 1.8 * sum(c.at < 3_000_000 for c in p.calls)  # traffic follows the fleet's growth
+    assert last > 1.8 * sum(c.at < 3_000_000 for c in p.calls)  # traffic grows with the fleet
     assert [c.at for c in p.calls] == sorted(c.at for c in p.calls)
 
 
@@ -113,7 +113,8 @@
 
 
 def test_a_server_that_one_fault_has_taken_out_is_not_taken_by_another() -> None:
-    """A test of the audit passed by chance: the server that drained was also the one that died and came back."""
+    """Two faults that chose the same server once hid a violation: a server that drained also died and returned, which
+    ended its drain."""
     text = f"""{BASE.replace("200", "5")}
 [[faults]]
 at_s = 0.5
@@ -137,11 +138,11 @@
         died = [(step.at, id) for step in steps if step.kind == "die" and step.at < 60_000_000 for id in step.targets]
         assert len(died) == 2 and not drained & {id for _, id in died}
         returned.add(died[0][1] == died[1][1])
-    assert True in returned  # one that is back may be taken again
+    assert True in returned  # a server that has returned may be chosen again
 
 
 def test_an_agent_that_asks_beyond_its_share_and_callers_that_give_no_hints() -> None:
-    """Another customer's days: one agent brings almost three times its share, and no request tells its cost."""
+    """As in another customer's traffic: one agent sends almost three times its share, and no request has a hint."""
     agents = '[[agents]]\nname = "a"\nshare = 0.4\nusage = 3.0\n[[agents]]\nname = "b"\nshare = 0.6\nusage = 0.5\n'
     p = plan(f"{BASE}hints = false\n{agents}", 1)
     part = sum(c.agent == 0 for c in p.calls) / len(p.calls)
--- a/tests/world/test_scenario.py
+++ b/tests/world/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what can't be run is said in one line that names the field."""
+"""Tests of scenario files: an invalid scenario is rejected with a one-line error that names the field."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_what_travels_to_a_child_is_the_very_same() -> None:
-    """Whole numbers in a file became others on the way, and with them the whole plan."""
+    """Integers in a file became floats in child processes, so that parent and child generated different plans."""
     s = parse(GOOD + '[[servers]]\nspeed = [1, 2]\n')
     assert to_json(from_json(to_json(s))) == to_json(s)
 
--- a/tests/world/test_server.py
+++ b/tests/world/test_server.py
@@ -1,4 +1,4 @@
-"""What a cash server does with requests, keys and faults, without sockets."""
+"""Tests of a cash server's handling of requests, idempotency keys and faults, without sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 """
 
 
-def made(text: str = TEXT) -> Server:
+def started_server(text: str = TEXT) -> Server:
     s = parse(text)
     plan = draw(s, 1)
     server = Server(Ledger(s, plan), plan.servers[0])
@@ -34,6 +34,7 @@
 
 
 def job_of(server: Server, name: str = "payment", skip: int = 0) -> Job:
+    """A request for the call of class ``name`` that follows the first ``skip`` such calls of the plan."""
     ledger = server.ledger
     names = [c.name for c in ledger.scenario.classes]
     index = [i for i, c in enumerate(ledger.plan.calls) if names[c.cls] == name][skip]
@@ -41,15 +42,15 @@
 
 
 def test_one_that_is_called_off_before_it_began_has_had_no_effect_and_its_key_is_free() -> None:
-    server = made()
+    server = started_server()
     first, second = job_of(server), job_of(server, skip=1)
     assert server.request(first, 0) is server.request(second, 0) is Reaction.WORK
     assert second.row.effect and second.row.began_at == 0
     server.call_off(second, Fate.CALLED_OFF, 1000)
     assert (second.row.effect, second.row.fate, second.row.ended_at) == (False, Fate.CALLED_OFF, 1000)
     again = job_of(server, skip=1)
-    assert server.request(again, 2000) is Reaction.WORK and again.row.effect  # no repeat
-    # One that had begun has had its effect, and a repeat has none.
+    assert server.request(again, 2000) is Reaction.WORK and again.row.effect  # not a duplicate
+    # A request whose work had begun has had its effect, and a duplicate has none.
     server.advance(1000)
     server.call_off(first, Fate.CALLED_OFF, 3000)
     assert first.row.effect
@@ -59,28 +60,28 @@
 
 
 def test_a_repeat_that_was_answered_for_one_called_off_before_it_began_has_had_the_effect() -> None:
-    server = made()
+    server = started_server()
     first, second = job_of(server), job_of(server, skip=1)
     server.request(first, 0)
-    server.request(second, 0)  # it waits
+    server.request(second, 0)  # queued
     server.ledger.rows += [first.row, second.row]
     repeat = job_of(server, skip=1)
     repeat.row.arrived_at = 100
     server.ledger.rows.append(repeat.row)
     memory = server.ledger.memory(server.ledger.plan.calls[second.row.call].cls, server.plan)
     assert memory is not None
-    repeat.row.effect, repeat.row.fate = False, Fate.REPEAT  # at another server of the group, which had room
+    repeat.row.effect, repeat.row.fate = False, Fate.REPEAT  # at another server of the group, with a free slot
     server.call_off(second, Fate.CALLED_OFF, 1000)
     assert (second.row.effect, repeat.row.effect) == (False, True)
     again = job_of(server, skip=1)
     again.row.arrived_at = 2000
     server.advance(900_000)
     server.request(again, 2000)
-    assert not again.row.effect  # its key is not free
+    assert not again.row.effect  # the key is still remembered
 
 
 def test_a_full_room_and_a_drain_turn_away_and_leave_no_effect() -> None:
-    server = made()
+    server = started_server()
     jobs = [job_of(server, skip=i) for i in range(3)]
     assert [server.request(job, 0) for job in jobs] == [Reaction.WORK, Reaction.WORK, Reaction.TURNED_AWAY]
     assert not jobs[2].row.effect
@@ -94,7 +95,7 @@
     (Step(0, "mend", ["s"], text="reset"), Fate.DONE),
 ])
 def test_faults_show_in_what_goes_out(step: Step, fate: Fate) -> None:
-    server = made()
+    server = started_server()
     server.faults.apply(step)
     job = job_of(server)
     server.request(job, 0)
@@ -103,7 +104,7 @@
 
 
 def test_faults_of_requests_and_idle_connections() -> None:
-    server = made()
+    server = started_server()
     server.faults.apply(Step(0, "reset", ["s"], 100, "request"))
     assert server.request_is_reset() and server.faults.reset_byte == 100
     server.faults.apply(Step(0, "mend", ["s"], text="reset"))
--- a/tests/world/test_service.py
+++ b/tests/world/test_service.py
@@ -1,4 +1,4 @@
-"""Worth in time over worth asked for."""
+"""Tests of the service level: worth delivered in time over worth requested."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
         r.asks.append(Ask(4 + i, 0, "n1", at, at, S, at + 50 * MS, End.ANSWER, 200 if i < 30 else 503))
     s = measure(r)
     assert s.by_agent["quiet"] == 1.0
-    within = 10 + 20  # a bucket of two seconds, then five a second for four seconds
+    within = 10 + 20  # a token bucket of two seconds, then five per second for four seconds
     assert 10 / within <= s.by_agent["flood"] < 0.6
     r.rules.over_share_worth = 1.0
-    assert measure(r).whole < s.whole  # what was refused beyond the share now counts in full
+    assert measure(r).whole < s.whole  # refusals beyond the share now count in full
 
 
 def test_nothing_asked_is_no_division_by_zero() -> None:
