--- a/headspar/fleet/count.py
+++ b/headspar/fleet/count.py
@@ -88,25 +88,25 @@
 
 
 class _Slot:
-    """Sums over the rows of all nodes in ``SLOT_US``.  ``shut``: rows at the ACC floor; ``closed``, ``opened``: nodes
-    that began, and stopped, to refuse."""
+    """Sums over the rows of all nodes in ``SLOT_US``.  ``refusing``: rows whose ACC is at its floor;
+    ``began_refusing``, ``stopped_refusing``: nodes that did so in the slot."""
 
-    __slots__ = ("counts", "rows", "shut", "closed", "opened")
+    __slots__ = ("counts", "rows", "refusing", "began_refusing", "stopped_refusing")
 
     def __init__(self) -> None:
         self.counts = [0] * len(COUNTED)
-        self.rows = self.shut = self.closed = self.opened = 0
+        self.rows = self.refusing = self.began_refusing = self.stopped_refusing = 0
 
 
 class _Node:
     """``last``: time of the newest row of any of the node's processes; ``last_own``: of the process being read."""
 
-    __slots__ = ("last", "last_own", "began", "shut")
+    __slots__ = ("last", "last_own", "began", "refusing")
 
     def __init__(self, at: int, began: int | None) -> None:
         self.last = self.last_own = at
         self.began = began
-        self.shut = False
+        self.refusing = False
 
 
 class FleetCounter:
@@ -168,8 +168,8 @@
         for i, name in enumerate(HOST, len(COUNTS)):
             slot.counts[i] += row.host[name]
         self.nodes_by_second.setdefault(at // SECOND, set()).add(node)
-        shut = row.acc <= ACC_FLOOR
-        slot.shut += shut
+        refusing = row.acc <= ACC_FLOOR
+        slot.refusing += refusing
         known = self.nodes.get(node)
         if known is None:
             known = self.nodes[node] = _Node(at, self.began.get(node))
@@ -177,9 +177,9 @@
             raise CountError(f"{node}: rows go back {(known.last_own - at) / SECOND:.1f} s: two nodes of one name?")
         elif at - known.last > GAP_US:
             self._add_silence(known.last, at)
-        slot.closed += shut and not known.shut
-        slot.opened += known.shut and not shut
-        known.last_own, known.shut = at, shut
+        slot.began_refusing += refusing and not known.refusing
+        slot.stopped_refusing += known.refusing and not refusing
+        known.last_own, known.refusing = at, refusing
         known.last = max(known.last, at)
 
     def _add_silence(self, since: int, until: int) -> None:
@@ -230,8 +230,8 @@
             before=before, full_s=None if full is None or failed_at is None else (full - failed_at) / SECOND,
             from_start_s=None if full is None or last is None else max(0.0, (full - last) / SECOND),
             peaks={name: self._peak(k, began, steady_end) for k, name in enumerate(COUNTED)},
-            in_step={"shut": max(self.slots[i].closed for i in order),
-                     "opened": max(self.slots[i].opened for i in order)},
+            in_step={"shut": max(self.slots[i].began_refusing for i in order),
+                     "opened": max(self.slots[i].stopped_refusing for i in order)},
             table=self._table(began, end),
         )
 
@@ -247,7 +247,7 @@
         for i, slot in self.slots.items():
             in_second = sums.setdefault(i * SLOT_US // SECOND, Counter())
             in_second.update(dict(zip(COUNTED, slot.counts, strict=True)))
-            in_second.update(rows=slot.rows, shut=slot.shut)
+            in_second.update(rows=slot.rows, refusing=slot.refusing)
         table = []
         for second in range(began // SECOND, -(-end // SECOND)):
             c = sums.get(second, Counter())
@@ -256,6 +256,6 @@
                 second - began // SECOND, len(self.nodes_by_second.get(second, ())), firsts,
                 c["served"] / firsts if firsts else 1.0, c["refused"] / tries if tries else 0.0,
                 (c["attempts"] + c["repeats"]) / firsts if firsts else 0.0, c["connections"], c["calls"],
-                c["datagrams"], c["shut"] / c["rows"] if c["rows"] else 0.0,
+                c["datagrams"], c["refusing"] / c["rows"] if c["rows"] else 0.0,
             ))
         return table
--- a/headspar/world/audit.py
+++ b/headspar/world/audit.py
@@ -76,7 +76,7 @@
 
 class _Audit:
     def __init__(self, recording: Recording) -> None:
-        self.r, self.rules = recording, recording.rules
+        self.recording, self.rules = recording, recording.rules
         self.start = recording.rules.began_at
         self.result = Verdict(True, [], [], dict.fromkeys(RULES, 0), {})
         self.doubtful: dict[str, int] = {}
@@ -120,7 +120,7 @@
     # ------------------------------------------------------------ reliability of the recording
 
     def _check_reliability(self) -> None:
-        r, doubts = self.r, self.result.doubts
+        r, doubts = self.recording, self.result.doubts
         doubts += [f"no records from {part}" for part in r.missing]
         if not r.asks:
             doubts.append("no requests were sent")
@@ -150,13 +150,13 @@
         result, rules = self.result, self.rules
         limit = a.sent_at + a.budget_us + rules.answer_slack_us
         where = {"call": a.call, "attempt": a.attempt, "node": a.node}
-        sends = self.sent.get((a.call, a.attempt), [])
+        attempts = self.sent.get((a.call, a.attempt), [])
         if a.end is End.UNCONNECTED:
             return
         slack = rules.answer_slack_us
         if a.end is End.CROSSED:
             # A node may close an idle connection, and need not have read a request that arrives at the same time.
-            if sends and not self._killed(a.node, a.sent_at - slack, a.ended_at + slack):
+            if attempts and not self._killed(a.node, a.sent_at - slack, a.ended_at + slack):
                 self.violation("lost", "closed unanswered", a.ended_at,
                                "its connection was closed although an attempt had been sent",
                                **where)  # type: ignore[arg-type]
@@ -178,8 +178,8 @@
         elif a.end is End.CUT:
             result.failed += 1
         elif a.end is End.ANSWER:
-            self._check_answer(a, sends, limit)
-        for s in sends:
+            self._check_answer(a, attempts, limit)
+        for s in attempts:
             if a.end is End.NONE and s.arrived_at > limit + slack:
                 self.violation("lost", "sent after its time", s.arrived_at,
                                f"an attempt arrived {(s.arrived_at - limit) / 1000:.1f} ms after its time limit",
@@ -193,7 +193,7 @@
                                server=s.server, excess=excess, late=self.fleet_lateness,
                                **where)  # type: ignore[arg-type]
 
-    def _check_answer(self, a: Ask, sends: list[Sent], limit: int) -> None:
+    def _check_answer(self, a: Ask, attempts: list[Sent], limit: int) -> None:
         result = self.result
         where = {"call": a.call, "attempt": a.attempt, "node": a.node}
         resumed_at = self._paused_until(a.node, a.sent_at - self.rules.answer_slack_us, limit)
@@ -208,24 +208,24 @@
                            **where)  # type: ignore[arg-type]
         if a.status == 200:
             result.served += 1
-            made = any(s.fate in (Fate.DONE, Fate.REPEAT) for s in sends)
+            made = any(s.fate in (Fate.DONE, Fate.REPEAT) for s in attempts)
             if not a.genuine or not made:
                 self.violation("lost", "served with what no server made", a.ended_at,
                                "the body belongs to another request" if made else "no server has answered it",
                                **where)  # type: ignore[arg-type]
         elif a.status in (429, 503):
             result.refused += 1
-            self._check_refusal(a, sends)
+            self._check_refusal(a, attempts)
         else:
             result.failed += 1
 
     # ------------------------------------------------------------ duplicated
 
-    def _check_refusal(self, a: Ask, sends: list[Sent]) -> None:
+    def _check_refusal(self, a: Ask, attempts: list[Sent]) -> None:
         spec = self.rules.classes[self.rules.calls[a.call].cls]
         if spec.effect == "retryable" or spec.effect == "dedup" and spec.group == "all":
             return
-        for s in sends:
+        for s in attempts:
             if s.fate is not Fate.TURNED_AWAY and s.arrived_at <= a.ended_at:
                 self.violation("duplicated", "refused after it may have run", a.ended_at,
                                f"class {spec.name}: an attempt had arrived "
@@ -233,10 +233,10 @@
                                call=a.call, attempt=a.attempt, node=a.node, server=s.server)
                 return
 
-    def _check_resends(self, sends: list[Sent]) -> None:
+    def _check_resends(self, attempts: list[Sent]) -> None:
         rules = self.rules
-        spec = rules.classes[rules.calls[sends[0].call].cls]
-        for i, s in enumerate(sends):
+        spec = rules.classes[rules.calls[attempts[0].call].cls]
+        for i, s in enumerate(attempts):
             where = {"call": s.call, "attempt": s.attempt, "node": s.node, "server": s.server}
             if not s.key_ok:
                 self.violation("duplicated", "changed on the way", s.arrived_at,
@@ -244,7 +244,7 @@
             if i >= rules.max_attempts:
                 self.violation("duplicated", "too many attempts", s.arrived_at,
                                f"attempt {i + 1} of {rules.max_attempts}", **where)  # type: ignore[arg-type]
-            for e in sends[:i]:
+            for e in attempts[:i]:
                 kind, text = self._resend_violation(spec.effect, spec.group, spec.window_us, e, s)
                 if kind:
                     self.violation("duplicated", kind, s.arrived_at, f"class {spec.name}: {text}",
@@ -277,7 +277,7 @@
         """A server is out of service for a node from the notification that it is not ready until the one that it is
         ready, or until the node's process starts again."""
         histories: dict[tuple[str, str], list[tuple[int, int, str]]] = defaultdict(list)
-        for t in self.r.told:
+        for t in self.recording.told:
             at = self._presumed_at(t.node, t.at) if t.presumed else t.at
             histories[t.node, t.server].append((at, t.version, t.state))
         spans: dict[tuple[str, str], list[tuple[int, float]]] = {}
@@ -301,7 +301,7 @@
             if unavailable:
                 spans[node, server] = unavailable
         grace = self.rules.drain_grace_us + self.rules.answer_slack_us
-        for s in self.r.sent:
+        for s in self.recording.sent:
             for since, until in spans.get((s.node, s.server), ()):
                 if since + grace < s.arrived_at <= until:
                     self.violation("drain", "sent after the grace", s.arrived_at,
@@ -323,18 +323,18 @@
 
     def _check_cold_starts(self) -> None:
         by_server: dict[str, list[Sent]] = defaultdict(list)
-        for s in self.r.sent:
+        for s in self.recording.sent:
             by_server[s.server].append(s)
         for rows in by_server.values():
             rows.sort(key=lambda s: s.arrived_at)
         ends: dict[str, list[int]] = defaultdict(list)
-        for start in self.r.starts:
+        for start in self.recording.starts:
             ends[start.server].append(start.at)
         ready_at: dict[tuple[str, str], list[int]] = defaultdict(list)
-        for t in self.r.told:
+        for t in self.recording.told:
             if t.state == "ready":
                 ready_at[t.node, t.server].append(t.at)
-        for start in self.r.starts:
+        for start in self.recording.starts:
             later = [at for at in ends[start.server] if at > start.at]
             self._check_start(start, by_server.get(start.server, []), min(later, default=1 << 62), ready_at)
 
@@ -383,7 +383,7 @@
 
     def _check_exits(self) -> None:
         expected: dict[str, int] = {}  # exits to expect, by node; in an upgrade one process exits and one stays
-        for mark in sorted(self.r.marks, key=lambda m: m.at):
+        for mark in sorted(self.recording.marks, key=lambda m: m.at):
             if mark.what in ("node_term", "node_kill"):
                 expected[mark.target] = expected.get(mark.target, 0) + 1
             elif mark.what == "node_start":
@@ -400,22 +400,22 @@
         self._check_reliability()
         result = self.result
         if not any("not in the plan" in doubt for doubt in result.doubts):
-            for a in self.r.asks:
+            for a in self.recording.asks:
                 self._check_client_attempt(a)
-            asked = {(a.call, a.attempt) for a in self.r.asks}
-            for key, sends in self.sent.items():
-                self._check_resends(sends)
+            asked = {(a.call, a.attempt) for a in self.recording.asks}
+            for key, attempts in self.sent.items():
+                self._check_resends(attempts)
                 if key not in asked:
-                    s = sends[0]
+                    s = attempts[0]
                     self.violation("duplicated", "never asked", s.arrived_at, "no caller made this client attempt",
                                    call=s.call, attempt=s.attempt, server=s.server, node=s.node)
             self._check_drains()
             self._check_cold_starts()
-        for _ in range(self.r.strangers):
+        for _ in range(self.recording.strangers):
             self.violation("duplicated", "of an unknown id", self.start,
                            "a server received a request that no caller had made")
         self._check_exits()
-        result.repeats_dropped = sum(s.fate is Fate.REPEAT for s in self.r.sent)
+        result.repeats_dropped = sum(s.fate is Fate.REPEAT for s in self.recording.sent)
         for kind, count in self.doubtful.items():
             result.doubts.append(f"{count} {kind}, by less than the lab's own maximum lateness")
         result.valid = not result.doubts
--- a/headspar/world/comeback.py
+++ b/headspar/world/comeback.py
@@ -167,11 +167,10 @@
     return None
 
 
-def _cause(tries: list[Ask], sends: list[Sent], truth: Truth, stops: dict[str, list[int]]) -> str:
-    """Why a call was lost or late.  ``tries``: its client attempts; ``sends``: its attempts at servers; both in
-    order."""
-    last = tries[-1]
-    of_last = [s for s in sends if s.attempt == last.attempt]
+def _cause(client_attempts: list[Ask], attempts: list[Sent], truth: Truth, stops: dict[str, list[int]]) -> str:
+    """Why a call was lost or late, from its client attempts and its attempts at servers, both in order."""
+    last = client_attempts[-1]
+    of_last = [s for s in attempts if s.attempt == last.attempt]
     if last.end is End.UNCONNECTED:
         return "no node"
     if last.end is End.LEFT:
@@ -187,10 +186,10 @@
     if last.status != 200:
         return "failed after attempts" if of_last else "failed unsent"
     served = next((s for s in of_last if s.fate in (Fate.DONE, Fate.REPEAT)), None)
-    duration = last.ended_at - tries[0].sent_at
-    if served is None or 2 * (sends[0].arrived_at - tries[0].sent_at) > duration:
+    duration = last.ended_at - client_attempts[0].sent_at
+    if served is None or 2 * (attempts[0].arrived_at - client_attempts[0].sent_at) > duration:
         return "late before its first attempt"
-    if served is not sends[0]:
+    if served is not attempts[0]:
         return "late after other attempts"
     c = truth.at(served.server, served.arrived_at)
     if c.slow > 1.0 or c.away > 0.0:
@@ -309,12 +308,12 @@
     out: dict[str, int] = defaultdict(int)
     for s in recording.sent:
         newest, state, since = -1, "ready", 0
-        process_start = max((at for at in starts.get(s.node, ()) if at <= s.arrived_at), default=0)
+        process_started_at = max((at for at in starts.get(s.node, ()) if at <= s.arrived_at), default=0)
         for at, version, reported in notified.get((s.node, s.server), ()):
             if at > s.arrived_at:
                 break
             # A process need not know what an earlier one was notified of: it is notified of its initial list again.
-            if at >= process_start - SECOND and version >= newest:
+            if at >= process_started_at - SECOND and version >= newest:
                 newest, state, since = version, reported, since if reported == state else at
         if state != "ready" and since <= s.arrived_at - PROCESSING_US:
             out[f"sent to a server told {state}"] += 1
@@ -338,12 +337,12 @@
     last = max((m.at for m in recording.marks if m.what in RETURNS and m.at >= failed_at), default=None)
     until = end if full is None else full
     peaks_until = end if full is None else min(end, max(full, (last or failed_at) + PEAK_SEARCH_US))
-    tries: dict[int, list[Ask]] = defaultdict(list)
+    client_attempts: dict[int, list[Ask]] = defaultdict(list)
     for a in sorted(recording.asks, key=lambda a: a.attempt):
-        tries[a.call].append(a)
-    sends: dict[int, list[Sent]] = defaultdict(list)
+        client_attempts[a.call].append(a)
+    attempts: dict[int, list[Sent]] = defaultdict(list)
     for s in sorted(recording.sent, key=lambda s: s.arrived_at):
-        sends[s.call].append(s)
+        attempts[s.call].append(s)
     stops: dict[str, list[int]] = defaultdict(list)
     for mark in recording.marks:
         if mark.what == "node_stop":
@@ -355,7 +354,7 @@
     for w in rows:
         if w.at < failed_at:
             continue
-        cause = _cause(tries[w.call], sends[w.call], truth, stops) if w.got < w.asked else ""
+        cause = _cause(client_attempts[w.call], attempts[w.call], truth, stops) if w.got < w.asked else ""
         seconds[(w.at - failed_at) // SECOND].append((w, cause))
         if cause and w.at < until and rate:
             causes[cause] += (w.asked - w.got) / rate
--- a/headspar/world/records.py
+++ b/headspar/world/records.py
@@ -41,7 +41,7 @@
     """One client attempt."""
 
     call: int
-    attempt: int  # 0: first try
+    attempt: int  # 0: first client attempt
     node: str
     planned_at: int
     sent_at: int  # last byte written
@@ -159,7 +159,7 @@
     quota_rps: float  # of all agents together; an agent's quota is its share of it
     servers: dict[str, ServerRule]
     calls: list[CallRule]
-    told_after_us: int = 6_000_000  # after a change at discovery, nodes are presumed to know it from then on
+    told_after_us: int = 6_000_000  # time after which nodes are presumed to know a change that discovery knows
     mean_us: float = 0.0  # mean work of a request; 0: unknown
 
 
--- a/headspar/world/scenario.py
+++ b/headspar/world/scenario.py
@@ -121,7 +121,7 @@
     retries: int = 1
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: Range = (20.0, 160.0)
-    honour: float = 0.6  # share of the calls whose callers obey Retry-After
+    honour: float = 0.6  # share of the retries that wait for as long as Retry-After says
     try_share: Range = (1.0, 1.0)  # time limit of one client attempt, as a share of the class's deadline
     impatient: float = 0.0  # share of the calls whose callers close the connection early
     notice_s: float = 1.0  # time until callers stop sending to a dead node
