--- a/headspar/world/audit.py
+++ b/headspar/world/audit.py
@@ -89,7 +89,7 @@
             rows.sort(key=lambda s: s.arrived_at)
         self.kills: dict[str, list[tuple[int, int]]] = defaultdict(list)  # time of the signal, end of the process
         self.starts: dict[str, list[int]] = defaultdict(list)
-        self.pauses: dict[str, list[tuple[int, int]]] = defaultdict(list)  # begin and end of a process pause
+        self.pauses: dict[str, list[tuple[int, int]]] = defaultdict(list)  # start and end of a process pause
         for mark in recording.marks:
             if mark.what == "node_stop":
                 ends = [m.at for m in recording.marks if m.what == "node_cont" and m.target == mark.target]
@@ -397,6 +397,7 @@
     # ------------------------------------------------------------ verdict
 
     def verdict(self) -> Verdict:
+        """Run all checks."""
         self._check_reliability()
         result = self.result
         if not any("not in the plan" in doubt for doubt in result.doubts):
--- a/headspar/world/comeback.py
+++ b/headspar/world/comeback.py
@@ -58,7 +58,7 @@
 
 class Peak(msgspec.Struct, frozen=True):
     """Maximum load within ``WINDOW_US``: the number of events (for work: microseconds of it), the ratio to the rate
-    before the failure (0 if there was none) and to the capacity (0 if unknown), and the begin of the window (us of
+    before the failure (0 if there was none) and to the capacity (0 if unknown), and the start of the window (us of
     the run)."""
 
     most: float
@@ -205,6 +205,7 @@
             (m.at, m.what, m.target) for m in recording.marks if m.what in (*FAILURES, *RETURNS, "node_exit"))
 
     def at(self, at: int) -> int:
+        """Number of nodes that run at a time of the monotonic clock (us)."""
         up: set[str] = set()
         for when, what, target in self.changes:
             if when > at:
@@ -217,7 +218,7 @@
 
 
 def _max_in_window(events: list[tuple[int, float]], since: int, until: int) -> tuple[float, int]:
-    """The maximum sum of ``events`` (time, value) within ``WINDOW_US``, and the begin of that window.  Only events in
+    """The maximum sum of ``events`` (time, value) within ``WINDOW_US``, and the start of that window.  Only events in
     ``since`` <= time < ``until`` count."""
     window: deque[tuple[int, float]] = deque()
     held = most = 0.0
--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -94,22 +94,22 @@
     assert len(kills) == round(share * NODES) and max(kills) - min(kills) < S
     assert_recovered(c)
     assert run.peers is not None and run.peers.carried > 100
-    again = [m.at for m in result.recording.marks if m.what == "node_start" and m.at > max(kills)]
-    assert len(again) == len(kills)
-    calls = [at for at in first_calls(result, min(again)) if at < min(again) + 4 * S]
-    assert max(Counter((at - min(again)) // 200_000 for at in calls).values()) <= len(kills) // 2, "a thundering herd"
+    restarts = [m.at for m in result.recording.marks if m.what == "node_start" and m.at > max(kills)]
+    assert len(restarts) == len(kills)
+    calls = [at for at in first_calls(result, min(restarts)) if at < min(restarts) + 4 * S]
+    assert max(Counter((at - min(restarts)) // 200_000 for at in calls).values()) <= len(kills) // 2, "a thundering herd"
 
 
 def test_killed_again_in_the_middle_of_coming_back(tmp_path: Path) -> None:
     async def script(run: Scripted) -> None:
-        struck = run.drawn(17)
+        failing = run.drawn(17)
         await run.until(AT_S)
-        await run.strike(struck, "node_kill")
-        begun = asyncio.create_task(run.strike(struck, "node_start"))
-        await until(lambda: sum(node.marks[-1].what == "node_start" for node in struck) > 10)
-        await run.strike(struck, "node_kill")  # by then some serve, some are starting, and some are not started yet
-        await begun
-        await run.strike(struck, "node_start")
+        await run.strike(failing, "node_kill")
+        starting = asyncio.create_task(run.strike(failing, "node_start"))
+        await until(lambda: sum(node.marks[-1].what == "node_start" for node in failing) > 10)
+        await run.strike(failing, "node_kill")  # by then some serve, some are starting, and some are not started yet
+        await starting
+        await run.strike(failing, "node_start")
 
     _, c, run = run_and_audit(with_faults(fleet()), tmp_path, script)
     assert_recovered(c)
@@ -160,8 +160,8 @@
 def test_lists_an_hour_old_of_which_half_is_gone_and_an_address_that_is_anothers(tmp_path: Path) -> None:
     async def script(run: Scripted) -> None:
         run.remember()
-        for known in run.lists.values():  # two servers of one site have swapped their addresses
-            rows = [row for row in known["instances"] if row["zone"] == "site-a"]
+        for learned in run.lists.values():  # two servers of one site have swapped their addresses
+            rows = [row for row in learned["instances"] if row["zone"] == "site-a"]
             rows[0]["hostPort"], rows[1]["hostPort"] = rows[1]["hostPort"], rows[0]["hostPort"]
             rows[0]["cell"] = rows[1]["cell"]
 
