--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -97,7 +97,7 @@
     restarts = [m.at for m in result.recording.marks if m.what == "node_start" and m.at > max(kills)]
     assert len(restarts) == len(kills)
     calls = [at for at in first_calls(result, min(restarts)) if at < min(restarts) + 4 * S]
-    assert max(Counter((at - min(restarts)) // 200_000 for at in calls).values()) <= len(kills) // 2, "a thundering herd"
+    assert max(Counter((at - min(restarts)) // 200_000 for at in calls).values()) <= len(kills) // 2, "a herd"
 
 
 def test_killed_again_in_the_middle_of_coming_back(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
     up = next(m.at for m in result.recording.marks if m.what == "discovery_back")
     calls = first_calls(result, up)
     assert len(calls) == NODES and calls[-1] - calls[0] < 6 * S, "all nodes call discovery again"
-    assert max(Counter((at - up) // 200_000 for at in calls).values()) <= NODES // 3, "a thundering herd"
+    assert max(Counter((at - up) // 200_000 for at in calls).values()) <= NODES // 3, "a herd"
     assert_recovered(c, 0.9)
 
 
