--- a/headspar/__main__.py
+++ b/headspar/__main__.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from headspar.config import ConfigError, load_config
-from headspar.handover import meeting, taker
+from headspar.handover import new_process, unix_socket
 from headspar.identity import NO_HANDOVER
 from headspar.process import serve
 
@@ -29,12 +29,13 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < config.sockets and (hard == resource.RLIM_INFINITY or hard >= config.sockets):
         resource.setrlimit(resource.RLIMIT_NOFILE, (config.sockets, hard))
-    taken = taker.ask(meeting.place(os.environ, config.listen), config.name, log_stderr)
-    if taken is None and os.environ.get("HEADSPAR_BESIDE") == "only":
+    path = unix_socket.socket_path(os.environ, config.listen)
+    inherited = new_process.request_handover(path, config.name, log_stderr)
+    if inherited is None and os.environ.get("HEADSPAR_BESIDE") == "only":
         log_stderr("headspar: no hand-over to be had, and HEADSPAR_BESIDE=only requires one")
         return NO_HANDOVER
     try:
-        uvloop.run(serve(config, taken, early_signals.reload_wanted))
+        uvloop.run(serve(config, inherited, early_signals.reload_wanted))
     except ConfigError as error:
         log_stderr(f"headspar: {error}")
         return 2
--- a/headspar/handover/beliefs.py
+++ b/headspar/handover/beliefs.py
@@ -20,10 +20,10 @@
 from headspar.interface import Experience, ServerExperience
 
 VERSION = 1
-MOST_BYTES = 4 << 20
+MAX_BYTES = 4 << 20
 MAX_SERVERS = 20_000
 MAX_NAMES = 1_000  # entries of a table
-MOST_LEFT = 20  # maximum number of names in ``left``
+MAX_LEFT = 20  # maximum number of names in ``left``
 MAX_VALUE = 1e16
 # Capacity fields whose units depend on each other, so that one alone would be misread.
 DEPENDENT_FIELDS = (
@@ -46,7 +46,7 @@
 
     ``known`` is the last list from discovery in its own format, None if invalid; ``experience`` is the state of the
     decision module and ``learned`` that of the connection plan; ``left`` names the fields that were invalid, at most
-    ``MOST_LEFT`` of them.
+    ``MAX_LEFT`` of them.
     """
 
     known: dict[str, Any] | None
@@ -56,17 +56,17 @@
 
 
 def encode(beliefs: Beliefs) -> bytes:
-    """Serializes to at most ``MOST_BYTES`` bytes of JSON; returns no bytes if it would be more."""
+    """Serializes to at most ``MAX_BYTES`` bytes of JSON; returns no bytes if it would be more."""
     raw = {"v": VERSION, "least": VERSION, **asdict(beliefs)}
     del raw["left"]
     data = json.dumps(raw, separators=(",", ":")).encode()
-    return data if len(data) <= MOST_BYTES else b""
+    return data if len(data) <= MAX_BYTES else b""
 
 
 def decode(data: bytes) -> Beliefs:
     """Parses all valid fields; raises ``BeliefsError`` if the data as a whole is invalid."""
-    if not data or len(data) > MOST_BYTES:
-        raise BeliefsError(f"size {len(data)} bytes, expected 1 to {MOST_BYTES}")
+    if not data or len(data) > MAX_BYTES:
+        raise BeliefsError(f"size {len(data)} bytes, expected 1 to {MAX_BYTES}")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
@@ -103,7 +103,7 @@
 
     def leave(self, name: str) -> None:
         """Records the name of a field that is left out."""
-        if len(self.left) < MOST_LEFT:
+        if len(self.left) < MAX_LEFT:
             self.left.append(name[:80])
 
     def table(self, raw: Any, name: str, max_entries: int = MAX_NAMES) -> dict[str, Any]:
--- a/headspar/handover/taker.py
+++ b/headspar/handover/new_process.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from headspar.handover import meeting
-from headspar.handover.beliefs import MOST_BYTES
+from headspar.handover import unix_socket
+from headspar.handover.beliefs import MAX_BYTES
 from headspar.handover.messages import Clients, Held, Hello, MessageError, No, Offer, Ready
-from headspar.handover.sides import Action, NewProcessState, new_process_step
+from headspar.handover.transitions import Action, NewProcessState, new_process_step
 
 OFFER_TIMEOUT_S = 1.5
 BUSY_TIMEOUT_S = 3.0  # while the old process hands over to another new one
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class ReceivedOffer:
     """The old process's offer, its sockets and serialized learned state; ``link`` is the connection to it."""
 
     link: socket.socket
@@ -31,7 +31,7 @@
     beliefs: bytes
 
 
-def ask(path: Path | None, name: str, log: Callable[[str], None]) -> Taken | None:
+def request_handover(path: Path | None, name: str, log: Callable[[str], None]) -> ReceivedOffer | None:
     """Requests the sockets of the process at ``path``; blocks, as nothing is served yet.
 
     Returns None if this process has to start alone.  The reason is logged in one line, unless there was no process.
@@ -41,7 +41,7 @@
     retry_until = time.monotonic() + BUSY_TIMEOUT_S
     while True:
         try:
-            link = meeting.connect(path, OFFER_TIMEOUT_S)
+            link = unix_socket.connect(path, OFFER_TIMEOUT_S)
         except (ConnectionRefusedError, FileNotFoundError):
             return None  # left over from a killed process
         except OSError as error:
@@ -58,33 +58,33 @@
         time.sleep(RETRY_S)
 
 
-def _request_offer(link: socket.socket, name: str) -> Taken:
-    meeting.send(link, Hello(name))
-    received = meeting.receive(link)
+def _request_offer(link: socket.socket, name: str) -> ReceivedOffer:
+    unix_socket.send(link, Hello(name))
+    received = unix_socket.receive(link)
     if received is None:
         raise MessageError("the other process has ended")
     message, files = received
     _, action = new_process_step(NewProcessState.ASKED, message)
     if action is not Action.TAKE or not isinstance(message, Offer):
-        meeting.close(files)
+        unix_socket.close(files)
         raise MessageError(message.reason if isinstance(message, No) else "no offer")
     sockets = [socket.socket(fileno=fd) for fd in files[:-1]]
     with os.fdopen(files[-1], "rb") as file:
         file.seek(0)
-        beliefs = file.read(MOST_BYTES + 1)  # one byte more, so that a longer one is rejected
+        beliefs = file.read(MAX_BYTES + 1)  # one byte more, so that a longer one is rejected
     for sock in (link, *sockets):
         sock.setblocking(False)
-    return Taken(link, message, sockets[0], sockets[1] if message.peers else None, beliefs)
+    return ReceivedOffer(link, message, sockets[0], sockets[1] if message.peers else None, beliefs)
 
 
-class Taker:
+class NewProcess:
     """The connection to the old process, from the offer until that process ends."""
 
     def __init__(
-        self, taken: Taken, loop: asyncio.AbstractEventLoop, *,
+        self, offer: ReceivedOffer, loop: asyncio.AbstractEventLoop, *,
         adopt: Callable[[socket.socket], None], share: Callable[[Held | None], None], log: Callable[[str], None],
     ) -> None:
-        self.link, self.loop = taken.link, loop
+        self.link, self.loop = offer.link, loop
         self.adopt, self.share, self.log = adopt, share, log
         self.state = NewProcessState.TAKEN
         self.adopted = 0
@@ -94,13 +94,13 @@
         self.state = NewProcessState.SERVING
         self.loop.add_reader(self.link.fileno(), self._read)
         try:
-            meeting.send(self.link, Ready())
+            unix_socket.send(self.link, Ready())
         except OSError as error:
             self._finish(str(error))
 
     def _read(self) -> None:
         try:
-            received = meeting.receive(self.link)
+            received = unix_socket.receive(self.link)
         except (BlockingIOError, InterruptedError):
             return
         except (OSError, MessageError) as error:
@@ -120,7 +120,7 @@
         elif action is Action.SHARE and isinstance(message, Held):
             self.share(message)
         else:
-            meeting.close(files)
+            unix_socket.close(files)
             self._finish(f"unexpected {type(message).__name__}")
 
     def _finish(self, reason: str) -> None:
--- a/headspar/handover/giver.py
+++ b/headspar/handover/old_process.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Protocol
 
-from headspar.handover import meeting
+from headspar.handover import unix_socket
 from headspar.handover.messages import MAX_SOCKETS, Clients, Held, MessageError, No, Offer
-from headspar.handover.sides import Action, Giving, old_process_step
+from headspar.handover.transitions import Action, OldProcessState, old_process_step
 
 REPORT_INTERVAL_S = 0.1
 RETRY_S = 0.005  # while the socket to the new process is full
@@ -22,39 +22,42 @@
 
 
 class HandoverHost(Protocol):
-    """The interface that ``Giver`` needs of its process."""
+    """The interface that ``OldProcess`` needs of its process."""
 
-    def offered(self) -> tuple[Offer, list[int], bytes]:
+    def make_offer(self) -> tuple[Offer, list[int], bytes]:
         """A new process starts: returns the offer, the descriptors for it, and the serialized learned state."""
 
-    def succeeded(self) -> None:
+    def on_successor_ready(self) -> None:
         """The new process serves: stops accepting connections."""
 
-    def idle(self, most: int) -> list[int]:
-        """Returns the descriptors of up to ``most`` clients between requests; they stay owned until ``given``."""
+    def idle_clients(self, most: int) -> list[int]:
+        """Returns the descriptors of up to ``most`` clients between requests.
 
-    def given(self, files: list[int]) -> None:
+        They stay owned until ``on_clients_transferred``.
+        """
+
+    def on_clients_transferred(self, files: list[int]) -> None:
         """The new process has these descriptors: closes them here."""
 
-    def held(self) -> Held:
+    def held_resources(self) -> Held:
         """Returns the numbers of clients, backend connections and requests that this process still holds."""
 
-    def alone(self) -> None:
+    def on_successor_gone(self) -> None:
         """The new process has ended."""
 
 
-class Giver:
+class OldProcess:
     """Listens for a new process and hands over to the one that has connected."""
 
     def __init__(self, process: HandoverHost, loop: asyncio.AbstractEventLoop, path: Path) -> None:
         self.process, self.loop, self.path = process, loop, path
-        self.state = Giving.ALONE
+        self.state = OldProcessState.ALONE
         self.link: socket.socket | None = None
         self.timer: asyncio.TimerHandle | None = None
         self._bind()
 
     def _bind(self) -> None:
-        self.sock = meeting.bind(self.path)
+        self.sock = unix_socket.bind(self.path)
         self.inode = os.stat(self.path).st_ino
         self.loop.add_reader(self.sock.fileno(), self._accept)
 
@@ -64,10 +67,10 @@
         except OSError:
             return
         try:
-            meeting.check_user(link)
+            unix_socket.check_user(link)
             link.setblocking(False)
             if self.link is not None:
-                meeting.send(link, No("busy"))
+                unix_socket.send(link, No("busy"))
                 link.close()
                 return
         except OSError:
@@ -78,23 +81,23 @@
         self.timer = self.loop.call_later(HELLO_TIMEOUT_S, self._hello_timeout)
 
     def _hello_timeout(self) -> None:
-        if self.state is Giving.ALONE:
+        if self.state is OldProcessState.ALONE:
             self._stop()
 
     def _read(self) -> None:
         assert self.link is not None
         try:
-            received = meeting.receive(self.link)
+            received = unix_socket.receive(self.link)
             if received is None:
                 self._stop()
                 return
             message, files = received
-            meeting.close(files)  # a new process sends none
+            unix_socket.close(files)  # a new process sends none
             self.state, action = old_process_step(self.state, message)
             if action is Action.OFFER:
                 self._send_offer(self.link)
             elif action is Action.HAND_OVER:
-                self.process.succeeded()
+                self.process.on_successor_ready()
                 self._hand_over()
             else:
                 self._stop()
@@ -104,48 +107,48 @@
             self._stop()
 
     def _send_offer(self, link: socket.socket) -> None:
-        offer, files, beliefs = self.process.offered()
+        offer, files, beliefs = self.process.make_offer()
         memory = os.memfd_create("headspar", os.MFD_CLOEXEC)
         try:
             with open(memory, "wb", closefd=False) as file:
                 file.write(beliefs)
-            meeting.send(link, offer, [*files, memory])
+            unix_socket.send(link, offer, [*files, memory])
         finally:
             os.close(memory)
 
     # ------------------------------------------------------------ hand-over of clients
 
-    def changed(self) -> None:
+    def on_client_idle(self) -> None:
         """A client has become idle between two requests: hands it over at once."""
-        if self.state is Giving.SUCCEEDED and self.link is not None:
+        if self.state is OldProcessState.SUCCEEDED and self.link is not None:
             self._send_clients(self.link)
 
     def _hand_over(self) -> None:
         """Hands over idle clients and reports what is still held, then repeats this after a delay."""
         self._cancel()
-        if self.state is not Giving.SUCCEEDED or self.link is None:
+        if self.state is not OldProcessState.SUCCEEDED or self.link is None:
             return
         socket_full = not self._send_clients(self.link)
         if self.link is None:
             return
         with contextlib.suppress(OSError):  # the next report repeats it
-            meeting.send(self.link, self.process.held())
+            unix_socket.send(self.link, self.process.held_resources())
         self.timer = self.loop.call_later(RETRY_S if socket_full else REPORT_INTERVAL_S, self._hand_over)
 
     def _send_clients(self, link: socket.socket) -> bool:
         """Hands over all idle clients; returns False if the socket to the new process is full."""
         while True:
-            files = self.process.idle(MAX_SOCKETS)
+            files = self.process.idle_clients(MAX_SOCKETS)
             if not files:
                 return True
             try:
-                meeting.send(link, Clients(len(files)), files)
+                unix_socket.send(link, Clients(len(files)), files)
             except BlockingIOError:
                 return False
             except OSError:
                 self._stop()
                 return True
-            self.process.given(files)
+            self.process.on_clients_transferred(files)
 
     # ------------------------------------------------------------ end of the hand-over
 
@@ -161,14 +164,14 @@
         if link is not None:
             self.loop.remove_reader(link.fileno())
             link.close()
-        previous, self.state = self.state, Giving.ALONE
-        if previous is Giving.SUCCEEDED:  # its socket file has replaced ours
+        previous, self.state = self.state, OldProcessState.ALONE
+        if previous is OldProcessState.SUCCEEDED:  # its socket file has replaced ours
             self.loop.remove_reader(self.sock.fileno())
             self.sock.close()
             with contextlib.suppress(OSError):
                 self._bind()
-        if previous is not Giving.ALONE:
-            self.process.alone()
+        if previous is not OldProcessState.ALONE:
+            self.process.on_successor_gone()
 
     def close(self) -> None:
         """Closes all sockets; removes the socket file unless it is the new process's."""
--- a/headspar/handover/shares.py
+++ b/headspar/handover/shares.py
@@ -36,14 +36,14 @@
     return Shares(clients, max(MIN_SHARE, files - clients), SPARE, callers, requests)
 
 
-def offered(alone: Shares) -> Shares:
+def old_process_shares(alone: Shares) -> Shares:
     """The shares of the first process once it has sent an offer to a second one."""
     return Shares(
         alone.clients, alone.backends, (alone.spare - OWN_FILES) // 2, max(1, alone.callers // 2), alone.requests
     )
 
 
-def second(alone: Shares, held: Held | Offer) -> Shares:
+def new_process_shares(alone: Shares, held: Held | Offer) -> Shares:
     """The shares of the second process while the first holds ``held``."""
     return Shares(
         max(MIN_SHARE, alone.clients - held.clients), max(MIN_SHARE, alone.backends - held.backends),
--- a/headspar/handover/sides.py
+++ b/headspar/handover/transitions.py
@@ -1,4 +1,4 @@
-"""The state machines of a hand-over, one for the old process (giver) and one for the new (taker); without I/O.
+"""The state machines of a hand-over, one for the old process and one for the new; without I/O.
 
 Each maps a state and a received message to the next state and an action.  Any other message ends the hand-over, and
 the process continues alone.
@@ -11,7 +11,7 @@
 from headspar.handover.messages import Clients, Held, Hello, Message, No, Offer, Ready
 
 
-class Giving(Enum):
+class OldProcessState(Enum):
     """The state of the old process."""
 
     ALONE = "alone"
@@ -38,9 +38,9 @@
     STOP = "stop"  # continue alone
 
 
-OLD_PROCESS_TRANSITIONS: dict[tuple[Giving, type[Message]], tuple[Giving, Action]] = {
-    (Giving.ALONE, Hello): (Giving.OFFERED, Action.OFFER),
-    (Giving.OFFERED, Ready): (Giving.SUCCEEDED, Action.HAND_OVER),
+OLD_PROCESS_TRANSITIONS: dict[tuple[OldProcessState, type[Message]], tuple[OldProcessState, Action]] = {
+    (OldProcessState.ALONE, Hello): (OldProcessState.OFFERED, Action.OFFER),
+    (OldProcessState.OFFERED, Ready): (OldProcessState.SUCCEEDED, Action.HAND_OVER),
 }
 NEW_PROCESS_TRANSITIONS: dict[tuple[NewProcessState, type[Message]], tuple[NewProcessState, Action]] = {
     (NewProcessState.ASKED, Offer): (NewProcessState.TAKEN, Action.TAKE),
@@ -49,9 +49,9 @@
 }
 
 
-def old_process_step(state: Giving, message: Message) -> tuple[Giving, Action]:
+def old_process_step(state: OldProcessState, message: Message) -> tuple[OldProcessState, Action]:
     """The old process's next state and its action."""
-    return OLD_PROCESS_TRANSITIONS.get((state, type(message)), (Giving.ALONE, Action.STOP))
+    return OLD_PROCESS_TRANSITIONS.get((state, type(message)), (OldProcessState.ALONE, Action.STOP))
 
 
 def new_process_step(state: NewProcessState, message: Message) -> tuple[NewProcessState, Action]:
--- a/headspar/handover/meeting.py
+++ b/headspar/handover/unix_socket.py
@@ -16,7 +16,7 @@
 FD = struct.calcsize("i")  # bytes of a descriptor in ancillary data
 
 
-def place(environ: Mapping[str, str], listen: Address) -> Path | None:
+def socket_path(environ: Mapping[str, str], listen: Address) -> Path | None:
     """The socket's path; None without ``$TMPDIR``, as the socket must not be in a directory shared by all users."""
     folder = environ.get("TMPDIR")
     return Path(folder) / f"headspar-{listen[0].replace(':', '_')}-{listen[1]}.sock" if folder else None
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -17,12 +17,12 @@
 
 from headspar.config import Address, Config, ConfigError, load_config
 from headspar.connections.subset import Subset
-from headspar.handover import meeting, shares
+from headspar.handover import shares, unix_socket
 from headspar.handover.beliefs import Beliefs, BeliefsError, decode, encode
-from headspar.handover.giver import Giver
 from headspar.handover.messages import Held, Offer
-from headspar.handover.sides import Giving
-from headspar.handover.taker import Taken, Taker
+from headspar.handover.new_process import NewProcess, ReceivedOffer
+from headspar.handover.old_process import OldProcess
+from headspar.handover.transitions import OldProcessState
 from headspar.identity import Identity, descriptors, resident_mb, settings_digest
 from headspar.node.backends import Backends, Budget
 from headspar.node.client_connections import ClientConnections
@@ -75,8 +75,8 @@
     """Owns the parts of one node for the life of the process; the hand-over's two sides (old and new process) call
     it."""
 
-    def __init__(self, config: Config, taken: Taken | None, loop: asyncio.AbstractEventLoop) -> None:
-        self.config, self.taken, self.loop = config, taken, loop
+    def __init__(self, config: Config, inherited: ReceivedOffer | None, loop: asyncio.AbstractEventLoop) -> None:
+        self.config, self.inherited, self.loop = config, inherited, loop
         node = self.node = Node(config, loop)
         loop.set_exception_handler(
             lambda _, context: node.error("loop", context.get("exception") or RuntimeError(context["message"]))
@@ -94,13 +94,13 @@
         self.server = ClientConnections(node, self.sole_process_share.clients, self.sole_process_share.spare, budget)
         self.started_at_us = now_us()
         self.snapshots = open_snapshots(config, node)
-        self.identity = Identity(config.name, os.environ, taken is not None)
+        self.identity = Identity(config.name, os.environ, inherited is not None)
         self.calls = Calls(node.lifecycle, node.figures, self._identity, self._work)
         self.ops: operators.Listener | None = None
         self.peers_socket: socket.socket | None = None
         self.listening: asyncio.Server | None = None
-        self.giver: Giver | None = None
-        self.taker: Taker | None = None
+        self.old_process: OldProcess | None = None
+        self.new_process: NewProcess | None = None
         self.offered_clients: dict[int, Client] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopping = asyncio.Event()
@@ -115,24 +115,25 @@
 
         ``reload_wanted`` tells whether SIGHUP arrived before this method installed its own handler.
         """
-        config, node, loop, taken = self.config, self.node, self.loop, self.taken
+        config, node, loop, inherited = self.config, self.node, self.loop, self.inherited
         loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         loop.add_signal_handler(signal.SIGINT, self.stopping.set)
-        self.socket = taken.listener if taken else bind_socket(config.listen)
+        self.socket = inherited.listener if inherited else bind_socket(config.listen)
         if config.peer_listen and config.peers_all and config.settings.may_tell_peers:
             self.peers_socket = (
-                taken.peers if taken and taken.peers else bind_socket(config.peer_listen, socket.SOCK_DGRAM)
+                inherited.peers if inherited and inherited.peers
+                else bind_socket(config.peer_listen, socket.SOCK_DGRAM)
             )
             await self._listen_to_peers()
-        if taken is not None:
-            self._share(shares.second(self.sole_process_share, taken.offer))
+        if inherited is not None:
+            self._share(shares.new_process_shares(self.sole_process_share, inherited.offer))
         beliefs = self._inherited_state()
-        if beliefs is None and taken is None and self.snapshots is not None:
+        if beliefs is None and inherited is None and self.snapshots is not None:
             found = self.snapshots.found()
             beliefs = self._with_newest_list(found.beliefs) if found is not None else None
         node.discovery.start(config.known if beliefs is None or beliefs.known is None else beliefs.known)
         if beliefs is not None:
-            node.restore(beliefs.experience, soon=taken is not None)
+            node.restore(beliefs.experience, soon=inherited is not None)
             node.backends.plan.recall(beliefs.learned, now_us())
         node.standstill.beats(now_us())
         node.flush_events()  # the balancer must have its list of servers before the node reports ready
@@ -141,14 +142,16 @@
         await self._listen()
         node.standstill.beats(now_us())  # time spent on starting does not count as a process pause
         node.lifecycle.move(Cause.STARTED)
-        if taken is not None:
-            self.taker = Taker(taken, loop, adopt=self._adopt, share=self._on_old_process_holds, log=node.log)
-            self.taker.ready()
-        path = meeting.place(os.environ, config.listen)
+        if inherited is not None:
+            self.new_process = NewProcess(
+                inherited, loop, adopt=self._adopt, share=self._on_old_process_holds, log=node.log
+            )
+            self.new_process.ready()
+        path = unix_socket.socket_path(os.environ, config.listen)
         if path is not None:
             try:
-                self.giver = Giver(self, loop, path)
-                self.server.on_idle = self.giver.changed
+                self.old_process = OldProcess(self, loop, path)
+                self.server.on_idle = self.old_process.on_client_idle
             except OSError as error:
                 node.log(f"hand-over: upgrades from this process may drop connections: {path}: {error.strerror}")
         self._sweep()
@@ -165,10 +168,10 @@
     def _inherited_state(self) -> Beliefs | None:
         """Decode the usable part of the old process's learned state; its list of backends counts only if it is no
         older than the configuration's."""
-        if self.taken is None or not self.config.operator.handover.beliefs:
+        if self.inherited is None or not self.config.operator.handover.beliefs:
             return None
         try:
-            beliefs = decode(self.taken.beliefs)
+            beliefs = decode(self.inherited.beliefs)
         except BeliefsError as error:
             self.node.log(f"hand-over: beliefs not taken: {error}")
             return None
@@ -247,7 +250,7 @@
             node.change(settings)
             self.server.intake.change(settings, now_us())
             self.sole_process_share = replace(self.sole_process_share, requests=settings.most_held)
-            if self.giver is None or self.giver.state is Giving.ALONE:
+            if self.old_process is None or self.old_process.state is OldProcessState.ALONE:
                 node.most_held = settings.most_held
             names = ", ".join(c.name for c in settings.classes)
             print(f"headspar: reload: new settings; classes {names}", file=sys.stderr, flush=True)
@@ -286,20 +289,20 @@
         if held is None:
             self._share(self.sole_process_share, alone=True)
         else:
-            self._share(shares.second(self.sole_process_share, held))
+            self._share(shares.new_process_shares(self.sole_process_share, held))
 
-    def offered(self) -> tuple[Offer, list[int], bytes]:
+    def make_offer(self) -> tuple[Offer, list[int], bytes]:
         """Prepare the offer to a new process that is starting, and reduce the limits to this process's part."""
-        self._share(shares.offered(self.sole_process_share))
+        self._share(shares.old_process_shares(self.sole_process_share))
         files = [self.socket.fileno()] + ([self.peers_socket.fileno()] if self.peers_socket else [])
-        held = self.held()
+        held = self.held_resources()
         return Offer(len(files) > 1, held.clients, held.backends, held.requests), files, self._encode_learned_state()
 
     def _encode_learned_state(self) -> bytes:
         node = self.node
         return encode(Beliefs(node.discovery.known(), node.balancer.experience(), node.backends.plan.learned()))
 
-    def succeeded(self) -> None:
+    def on_successor_ready(self) -> None:
         """The new process serves: stop accepting, and close the peer socket in both directions."""
         self.node.lifecycle.move(Cause.SUCCEEDED)
         if self.listening is not None:
@@ -309,15 +312,15 @@
         if peers is not None and peers.transport is not None:
             peers.transport.close()
 
-    def idle(self, most: int) -> list[int]:
+    def idle_clients(self, most: int) -> list[int]:
         self.offered_clients = self.server.transferable(most)
         return list(self.offered_clients)
 
-    def given(self, files: list[int]) -> None:
+    def on_clients_transferred(self, files: list[int]) -> None:
         for fd in files:
             self.server.transferred(self.offered_clients.pop(fd))
 
-    def held(self) -> Held:
+    def held_resources(self) -> Held:
         backends = self.node.backends
         if self.node.lifecycle.hands_over:
             # Each client that is not between two requests may need a backend connection, even before its request is
@@ -327,7 +330,7 @@
             return Held(len(self.server.clients), backends.max_connections, len(self.node.requests))
         return Held(len(self.server.clients), len(backends.connections), len(self.node.requests))
 
-    def alone(self) -> None:
+    def on_successor_gone(self) -> None:
         """The new process has gone: resume as the only process of the node, unless this one is ending itself."""
         self.node.log("hand-over: the second process is gone")
         self._share(self.sole_process_share, alone=True)
@@ -372,8 +375,8 @@
             if not node.closing and last - loop.time() < FINAL_ANSWERS_S:
                 node.answer_all()
             await asyncio.sleep(0.02)
-        if self.giver is not None:
-            self.giver.close()
+        if self.old_process is not None:
+            self.old_process.close()
         if self.ops is not None:
             self.ops.close()
         if node.recorder is not None:
@@ -422,9 +425,9 @@
         raise ConfigError(f"recorder.file: {path}: {error.strerror}") from None
 
 
-async def serve(config: Config, taken: Taken | None, reload_wanted: Callable[[], bool]) -> None:
+async def serve(config: Config, inherited: ReceivedOffer | None, reload_wanted: Callable[[], bool]) -> None:
     """Run one node until SIGTERM and the graceful shutdown that follows."""
-    process = Process(config, taken, asyncio.get_running_loop())
+    process = Process(config, inherited, asyncio.get_running_loop())
     await process.start(reload_wanted)
     await process.stopping.wait()
     await process.end()
--- a/headspar/snapshot/form.py
+++ b/headspar/snapshot/form.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from headspar.handover.beliefs import MOST_BYTES, Beliefs, BeliefsError
+from headspar.handover.beliefs import MAX_BYTES, Beliefs, BeliefsError
 from headspar.handover.beliefs import decode as decode_beliefs
 from headspar.handover.beliefs import encode as encode_beliefs
 from headspar.snapshot.ages import Header
@@ -65,7 +65,7 @@
             raise FormatError("truncated or modified")
         header = Header(str(raw["name"]), str(raw["site"]), str(raw["settings"]), int(raw["wall_us"]),
                         int(raw["offset_us"]))
-        body = zlib.decompressobj().decompress(packed, MOST_BYTES + 1)
+        body = zlib.decompressobj().decompress(packed, MAX_BYTES + 1)
         return Snapshot(int(raw["serial"]), header, decode_beliefs(body))
     except BeliefsError as error:
         raise FormatError(str(error)) from None
--- a/tests/handover/test_upgrades.py
+++ b/tests/handover/test_upgrades.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from headspar.handover import meeting
+from headspar.handover import unix_socket
 from headspar.handover.messages import Hello, Offer, Ready
 from tests.loopback import PATIENCE, Node, answer, running, wait_for
 
@@ -70,7 +70,7 @@
 
 
 def place(node: Node) -> Path:
-    found = meeting.place(node.env, node.address)
+    found = unix_socket.socket_path(node.env, node.address)
     assert found is not None
     return found
 
@@ -196,11 +196,11 @@
 
 def stub_with_offer(node: Node) -> socket.socket:
     """A stub of a new process that has received the offer."""
-    link = meeting.connect(place(node), PATIENCE)
-    meeting.send(link, Hello("n0"))
-    got = meeting.receive(link)
+    link = unix_socket.connect(place(node), PATIENCE)
+    unix_socket.send(link, Hello("n0"))
+    got = unix_socket.receive(link)
     assert got is not None and isinstance(got[0], Offer)
-    meeting.close(got[1])
+    unix_socket.close(got[1])
     return link
 
 
@@ -219,7 +219,7 @@
     with node.client() as client:
         assert client.ask().status == 200
         link = stub_with_offer(node)
-        meeting.send(link, Ready())
+        unix_socket.send(link, Ready())
         wait_for(lambda: node.call("/healthcheck")[1]["state"] == "handing over")
         link.close()
         wait_for(lambda: node.call("/healthcheck")[0] == 200)
@@ -245,18 +245,18 @@
                 client.send(client.head())
             for client in clients:
                 client.arrived()
-            meeting.send(link, Ready())
+            unix_socket.send(link, Ready())
         assert [client.read().status for client in clients] == [200] * 40
         link.close()
 
 
 @pytest.mark.parametrize("packet", [b"what", b'{"v":9,"say":"hello","name":"n0"}', b'{"v":1,"say":"ready"}'])
 def test_a_stranger_at_the_meeting_place_is_cut_off(node: Node, packet: bytes) -> None:
-    link = meeting.connect(place(node), PATIENCE)
+    link = unix_socket.connect(place(node), PATIENCE)
     link.send(packet)
     assert link.recv(100) == b""
     link.close()
-    silent = meeting.connect(place(node), PATIENCE)  # sends nothing: closed after a second
+    silent = unix_socket.connect(place(node), PATIENCE)  # sends nothing: closed after a second
     assert silent.recv(100) == b""
     silent.close()
     node.upgrade()
@@ -270,7 +270,7 @@
 ])
 def test_a_process_that_can_not_hand_over_is_passed_by_with_one_line(node: Node, behaviour: str, line: str) -> None:
     node.stop()
-    sock = meeting.bind(place(node))
+    sock = unix_socket.bind(place(node))
     sock.setblocking(True)
     stopping = threading.Event()
 
@@ -323,14 +323,14 @@
 
 
 def test_without_a_directory_of_its_own_there_is_no_meeting_place() -> None:
-    assert meeting.place({}, ("127.0.0.1", 80)) is None
+    assert unix_socket.socket_path({}, ("127.0.0.1", 80)) is None
     long = Path("/tmp") / ("x" * 200)
     long.mkdir(exist_ok=True)
     try:
-        path = meeting.place({"TMPDIR": str(long)}, ("127.0.0.1", 80))
+        path = unix_socket.socket_path({"TMPDIR": str(long)}, ("127.0.0.1", 80))
         assert path is not None
-        sock = meeting.bind(path)  # longer than the 108 bytes of a socket address
-        meeting.connect(path, PATIENCE).close()
+        sock = unix_socket.bind(path)  # longer than the 108 bytes of a socket address
+        unix_socket.connect(path, PATIENCE).close()
         sock.close()
         path.unlink()
     finally:
--- a/tests/handover/test_without_sockets.py
+++ b/tests/handover/test_without_sockets.py
@@ -20,7 +20,7 @@
     decode,
     encode,
 )
-from headspar.handover.sides import Action, Giving, NewProcessState, new_process_step, old_process_step
+from headspar.handover.transitions import Action, NewProcessState, OldProcessState, new_process_step, old_process_step
 
 MESSAGES: list[tuple[Message, int]] = [
     (Hello("n0"), 0), (Offer(True, 1, 2, 3), 3), (Offer(False, 1, 2, 3), 2), (Ready(), 0), (Clients(5), 5),
@@ -53,16 +53,16 @@
 
 
 def test_the_way_of_a_whole_upgrade_and_that_nothing_else_is_allowed() -> None:
-    state, action = old_process_step(Giving.ALONE, Hello("n0"))
-    assert (state, action) == (Giving.OFFERED, Action.OFFER)
-    assert old_process_step(state, Ready()) == (Giving.SUCCEEDED, Action.HAND_OVER)
+    state, action = old_process_step(OldProcessState.ALONE, Hello("n0"))
+    assert (state, action) == (OldProcessState.OFFERED, Action.OFFER)
+    assert old_process_step(state, Ready()) == (OldProcessState.SUCCEEDED, Action.HAND_OVER)
     assert new_process_step(NewProcessState.ASKED, Offer(False, 0, 0, 0)) == (NewProcessState.TAKEN, Action.TAKE)
     assert new_process_step(NewProcessState.SERVING, Clients(1)) == (NewProcessState.SERVING, Action.ADOPT)
-    allowed = {(Giving.ALONE, Hello), (Giving.OFFERED, Ready)}
-    for old_state in Giving:
+    allowed = {(OldProcessState.ALONE, Hello), (OldProcessState.OFFERED, Ready)}
+    for old_state in OldProcessState:
         for message, _ in MESSAGES:
             if (old_state, type(message)) not in allowed:
-                assert old_process_step(old_state, message) == (Giving.ALONE, Action.STOP)
+                assert old_process_step(old_state, message) == (OldProcessState.ALONE, Action.STOP)
     for new_state in (NewProcessState.ASKED, NewProcessState.TAKEN):
         for early in (Clients(1), Held(1, 1, 1), Ready(), Hello("x")):
             assert new_process_step(new_state, early)[1] is Action.STOP
@@ -73,8 +73,8 @@
     alone = shares.whole(sockets, 16, 1000)
     for clients in (0, 10, alone.clients):
         for backends in (0, 10, alone.backends):
-            first = shares.offered(alone)
-            other = shares.second(alone, Held(clients, backends, 400))
+            first = shares.old_process_shares(alone)
+            other = shares.new_process_shares(alone, Held(clients, backends, 400))
             held = 2 * shares.OWN_FILES + clients + backends + first.spare + first.callers
             held += other.clients + other.backends + other.spare + other.callers + 2
             assert held <= sockets + 2 * shares.MIN_SHARE
@@ -82,5 +82,5 @@
 
 
 def test_a_second_process_always_has_some_room() -> None:
-    other = shares.second(shares.whole(256, 16, 100), Held(10_000, 10_000, 10_000))
+    other = shares.new_process_shares(shares.whole(256, 16, 100), Held(10_000, 10_000, 10_000))
     assert min(other.clients, other.backends, other.callers, other.requests) >= 1
--- a/tests/versions/test_samples.py
+++ b/tests/versions/test_samples.py
@@ -131,7 +131,7 @@
         found = b.decode(json.dumps(raw).encode())
     except b.BeliefsError:
         return
-    assert len(found.left) <= b.MOST_LEFT
+    assert len(found.left) <= b.MAX_LEFT
     balancer = module()
     balancer.handle(NOW, [Recalled(found.experience)])
     assert len(steady(balancer)) >= 15
