--- a/headspar/cli.py
+++ b/headspar/cli.py
@@ -87,7 +87,7 @@
         operator = operator_file.load(file)
     except operator_file.OperatorError as error:
         raise stop(str(error), 2) from None
-    for name, value, default in operator_file.rows(operator):
+    for name, value, default in operator_file.settings_rows(operator):
         print(f"{name} = {value}" + ("" if value == default else f"  (default {default})"))
 
 
--- a/headspar/fleet/cli.py
+++ b/headspar/fleet/cli.py
@@ -12,7 +12,7 @@
 
 from headspar.commands import stop, writable
 from headspar.fleet.count import Count, CountError, Counting
-from headspar.recorder.file import lines, older
+from headspar.recorder.file import lines, rotated_path
 from headspar.recorder.line import LineError, Reader
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
@@ -27,16 +27,16 @@
 def read_into(counting: Counting, path: Path) -> None:
     """One node's record, its older half first, a line at a time.  ``LineError``, ``CountError`` and ``OSError`` say
     what is wrong."""
-    for part in (older(path), path):
+    for part in (rotated_path(path), path):
         if part != path and not part.exists():
             continue
         reader, begun = Reader(), False
         for number, text in lines(part):
             try:
-                row = reader.take(text)
+                row = reader.read_line(text)
             except LineError as error:
                 raise LineError(f"{part}: line {number}: {error}") from None
-            if reader.begun and not begun:
+            if reader.has_header and not begun:
                 begun = True
                 counting.begin(reader.node, reader.began, reader.wall)
             if row is not None:
--- a/headspar/identity.py
+++ b/headspar/identity.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 PACKAGE = Path(__file__).resolve().parent
-SKIPPED = frozenset(("__pycache__", ".git"))
+SKIPPED_NAMES = frozenset(("__pycache__", ".git"))
 MAX_FILES = 20_000
 NO_HANDOVER = 4  # exit status of a process that may start only by hand-over, if none is possible
 
@@ -27,7 +27,7 @@
     """
     files: list[Path] = []
     for at, folders, names in os.walk(folder, onerror=_raise):
-        folders[:] = sorted(name for name in folders if name not in SKIPPED)
+        folders[:] = sorted(name for name in folders if name not in SKIPPED_NAMES)
         files += [Path(at, name) for name in names if not name.endswith(".pyc")]
         if len(files) > MAX_FILES:
             raise OSError(f"{folder}: more than {MAX_FILES} files")
@@ -98,7 +98,7 @@
         self.epoch = int(epoch) if epoch.isascii() and epoch.isdigit() and len(epoch) < 16 else 0
         self.program = tree_digest(PACKAGE) if self.generation else ""
 
-    def shown(self, settings: str, servers: int, cold: int) -> dict[str, Any]:
+    def report(self, settings: str, servers: int, cold: int) -> dict[str, Any]:
         """The response body; ``settings``: digest in force, ``cold``: number of listed servers in slow start."""
         if not self.program:
             self.program = tree_digest(PACKAGE)
--- a/headspar/keeper/cli.py
+++ b/headspar/keeper/cli.py
@@ -18,7 +18,7 @@
 
 from headspar import operator_file
 from headspar.commands import stop
-from headspar.identity import PACKAGE, SKIPPED
+from headspar.identity import PACKAGE, SKIPPED_NAMES
 from headspar.keeper import __main__ as keeper_main
 from headspar.keeper.generations import GenerationError, digest
 from headspar.keeper.messages import Status
@@ -91,7 +91,7 @@
     try:
         if operator is not None:
             operator_file.load(operator)
-        shutil.copytree(program, to / "program" / "headspar", ignore=shutil.ignore_patterns(*SKIPPED, "*.pyc"))
+        shutil.copytree(program, to / "program" / "headspar", ignore=shutil.ignore_patterns(*SKIPPED_NAMES, "*.pyc"))
         shutil.copyfile(settings, to / "settings.json")
         if operator is not None:
             shutil.copyfile(operator, to / "operator.toml")
--- a/headspar/keeper/generations.py
+++ b/headspar/keeper/generations.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from headspar.failpoints import failpoint
-from headspar.identity import SKIPPED, settings_digest, tree_digest
+from headspar.identity import SKIPPED_NAMES, settings_digest, tree_digest
 
 MAX_BYTES = 512 << 20  # of one generation
 
@@ -140,7 +140,7 @@
     size = 0
     target.mkdir()
     for at, folders, names in os.walk(source):
-        folders[:] = [name for name in folders if name not in SKIPPED]
+        folders[:] = [name for name in folders if name not in SKIPPED_NAMES]
         to = target / Path(at).relative_to(source)
         to.mkdir(exist_ok=True)
         for name in names:
--- a/headspar/node/clients.py
+++ b/headspar/node/clients.py
@@ -415,7 +415,7 @@
 
     def _is_last_answer(self) -> bool:
         """Return whether the next answer is the last on this connection."""
-        return not self.queue and (self.close_after or self.over_limit or self.node.lifecycle.sends_away)
+        return not self.queue and (self.close_after or self.over_limit or self.node.lifecycle.closes_connections)
 
     def _write(self, data: bytes) -> None:
         if self.transport is not None:
--- a/headspar/node/core.py
+++ b/headspar/node/core.py
@@ -245,7 +245,7 @@
         """Take a complete request. ``r.deadline`` counts from the time it was complete, however long it then waited
         behind others."""
         now = self._check_pause()
-        self.ledger.took()
+        self.ledger.request_accepted()
         if self.closing or len(self.requests) >= self.most_held:
             self.answer(r, 503, self.retry_after())
             return
@@ -272,7 +272,7 @@
     def count_rejected(self, r: Request) -> None:
         """Count a request that was rejected with 503 before it reached the balancer: it is taken and ended at
         once."""
-        self.ledger.took()
+        self.ledger.request_accepted()
         self.ledger.answered(r.cls, 503)
 
     def answer(self, r: Request, status: int, retry_after_us: int = 0) -> None:
@@ -288,10 +288,10 @@
         r.client = None
         if r.live:
             r.live, r.client_left = False, True
-            self.ledger.left()
+            self.ledger.client_disconnected()
             self.post(ClientGone(r.key))
         if r.stream is not None:
-            self.ledger.left()
+            self.ledger.client_disconnected()
             self.end(r.stream, Outcome.CANCELLED)
         self._forget(r)
 
@@ -487,7 +487,7 @@
     def change(self, settings: Settings) -> None:
         """Apply new settings within one loop iteration; requests in progress keep the settings of their arrival."""
         self.settings = settings
-        self.ledger.name(c.name for c in settings.classes)
+        self.ledger.add_classes(c.name for c in settings.classes)
         self.aims = aims(settings)
         self.backends.change(settings)
         self.reach.change(settings)
--- a/headspar/operations/ledger.py
+++ b/headspar/operations/ledger.py
@@ -59,9 +59,9 @@
         self.broken = 0  # attempts sent to draining servers later than the rule allows
         self.connections = self.calls = self.datagrams = 0  # begun to servers; to discovery; to peers
         self.reload_success = self.reload_failure = 0
-        self.name(classes)
+        self.add_classes(classes)
 
-    def name(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Adds counters for these classes of the settings; earlier classes keep theirs."""
         for cls in classes:
             if cls not in self.classes and len(self.classes) < MAX_CLASSES:
@@ -72,7 +72,7 @@
         """The number of requests accepted and not yet ended."""
         return self.taken - self.ended
 
-    def took(self) -> None:
+    def request_accepted(self) -> None:
         """Counts a request that was accepted."""
         self.taken += 1
 
@@ -87,7 +87,7 @@
         else:
             counts.error += 1
 
-    def left(self) -> None:
+    def client_disconnected(self) -> None:
         """Counts a request whose client disconnected before the answer."""
         self.ended += 1
         self.abandoned += 1
--- a/headspar/operations/lifecycle.py
+++ b/headspar/operations/lifecycle.py
@@ -26,8 +26,8 @@
     STARTED = "started"
     FAIL = "fail"  # ``/healthcheck/fail``
     OK = "ok"  # ``/healthcheck/ok``
-    SUCCEEDED = "succeeded"  # a new process has reported that it serves
-    ALONE = "alone"  # that process has ended
+    NEW_PROCESS_READY = "succeeded"  # a new process has reported that it serves
+    NEW_PROCESS_GONE = "alone"  # that process has ended
     TERM = "term"
 
 
@@ -38,21 +38,21 @@
     (S.STARTING, C.TERM): S.ENDING,
     (S.READY, C.FAIL): S.DRAINING,
     (S.READY, C.OK): S.READY,
-    (S.READY, C.SUCCEEDED): S.HANDING_OVER,
+    (S.READY, C.NEW_PROCESS_READY): S.HANDING_OVER,
     (S.READY, C.TERM): S.ENDING,
     (S.DRAINING, C.FAIL): S.DRAINING,
     (S.DRAINING, C.OK): S.READY,
-    (S.DRAINING, C.SUCCEEDED): S.HANDING_OVER,
+    (S.DRAINING, C.NEW_PROCESS_READY): S.HANDING_OVER,
     (S.DRAINING, C.TERM): S.ENDING,
     (S.HANDING_OVER, C.FAIL): S.HANDING_OVER,  # connections are already being handed over
-    (S.HANDING_OVER, C.ALONE): S.READY,
+    (S.HANDING_OVER, C.NEW_PROCESS_GONE): S.READY,
     (S.HANDING_OVER, C.TERM): S.LEAVING,
     (S.LEAVING, C.FAIL): S.LEAVING,
     (S.LEAVING, C.TERM): S.LEAVING,
-    (S.LEAVING, C.ALONE): S.ENDING,
+    (S.LEAVING, C.NEW_PROCESS_GONE): S.ENDING,
     (S.ENDING, C.FAIL): S.ENDING,
-    (S.ENDING, C.SUCCEEDED): S.LEAVING,
-    (S.ENDING, C.ALONE): S.ENDING,
+    (S.ENDING, C.NEW_PROCESS_READY): S.LEAVING,
+    (S.ENDING, C.NEW_PROCESS_GONE): S.ENDING,
     (S.ENDING, C.TERM): S.ENDING,
 }
 
@@ -81,7 +81,7 @@
         return self.state is State.READY
 
     @property
-    def sends_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether each connection is closed after its answer."""
         return self.state is State.DRAINING or self.state is State.ENDING
 
--- a/headspar/operations/listener.py
+++ b/headspar/operations/listener.py
@@ -1,8 +1,9 @@
 """The HTTP listener for operators: one request per connection, answered in the loop iteration that completes it.
 
-At most ``MOST`` connections are open, in descriptors reserved from clients.  A further connection replaces the oldest
-without a complete request, so idle connections lock nobody out.  A few connections are accepted per loop iteration
-and each is read at once, so that a burst of idle connections does not displace one whose request can be read.
+At most ``MAX_CONNECTIONS`` connections are open, in descriptors reserved from clients.  A further connection replaces
+the oldest without a complete request, so idle connections lock nobody out.  A few connections are accepted per loop
+iteration and each is read at once, so that a burst of idle connections does not displace one whose request can be
+read.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from headspar.operations.calls import Calls, Reply
 
-MOST = 16  # connections
+MAX_CONNECTIONS = 16  # connections
 ACCEPTS_PER_TURN = 4
 BACKLOG = 1024
 MAX_REQUEST_BYTES = 8 * 1024  # with its body
@@ -98,12 +99,12 @@
 
 
 class Listener:
-    """Accepts operators' connections on a bound socket; ``most`` limits how many are open."""
+    """Accepts operators' connections on a bound socket; ``max_connections`` limits how many are open."""
 
     def __init__(self, calls: Calls, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self.calls, self.loop, self.sock = calls, loop, sock
         self.connections: dict[OperatorConnection, None] = {}  # oldest first
-        self.most = MOST
+        self.max_connections = MAX_CONNECTIONS
         sock.listen(BACKLOG)
         loop.add_reader(sock.fileno(), self._accept)
 
@@ -114,7 +115,7 @@
             except OSError:
                 return
             sock.setblocking(False)
-            while len(self.connections) >= self.most:
+            while len(self.connections) >= self.max_connections:
                 oldest = next(iter(self.connections))
                 next((c for c in self.connections if not c.answered), oldest).close()
             connection = OperatorConnection(self, sock)
--- a/headspar/operations/work.py
+++ b/headspar/operations/work.py
@@ -43,7 +43,7 @@
             "classes": {name: c.times for name, c in ledger.classes.items() if c.success}}
 
 
-def shown(ledger: Ledger, process: str, generation: str, up_s: float, cpu_ms: float, gauges: dict[str, float],
+def report(ledger: Ledger, process: str, generation: str, up_s: float, cpu_ms: float, gauges: dict[str, float],
           ) -> dict[str, Any]:
     """The response body.  ``process`` is unique to this process; ``up_s`` is its age by its monotonic clock."""
     return {"version": VERSION, "process": process, "generation": generation, "up_s": round(up_s, 3),
--- a/headspar/operator_file.py
+++ b/headspar/operator_file.py
@@ -276,7 +276,7 @@
         raise OperatorError(f"{path}: {' '.join(str(error).split())}") from None
 
 
-def rows(operator: Operator) -> list[tuple[str, Any, Any]]:
+def settings_rows(operator: Operator) -> list[tuple[str, Any, Any]]:
     """All keys as (table.key, value, default)."""
     defaults = dataclasses.asdict(Operator())
     return [
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -81,7 +81,7 @@
         loop.set_exception_handler(
             lambda _, context: node.error("loop", context.get("exception") or RuntimeError(context["message"]))
         )
-        callers = operators.MOST if config.ops else 0
+        callers = operators.MAX_CONNECTIONS if config.ops else 0
         self.sole_process_share = shares.whole(config.sockets, callers, config.settings.most_held)
         self.body_budget_bytes = int(BODY_MEMORY_SHARE * max(16, config.memory_mb - PROGRAM_MB)) * 1024 * 1024
         budget = self.budget = Budget(self.body_budget_bytes)
@@ -189,7 +189,7 @@
         entries, ramp, now = self.node.reach.entries, self.node.settings.ramp_us, now_us()
         started = [entry.started_at_us for entry in entries.values()]
         cold = sum(at > 0 and now - at < ramp for at in started)  # 0: discovery reports no start time
-        return self.identity.shown(settings_digest(self.config.raw_settings), len(entries), cold)
+        return self.identity.report(settings_digest(self.config.raw_settings), len(entries), cold)
 
     async def _listen(self) -> None:
         """Accept clients on a duplicate of the socket; the original is kept for a new process, or for listening
@@ -212,7 +212,7 @@
                   "servers": float(found["servers"]), "cold": float(found["cold"]),
                   "disabled": float(node.balancer.avoided())}
         process = f"{found['pid']}-{found['started']}-{found['boot'][:8]}"
-        return work.shown(node.ledger, process, identity.generation, (now_us() - self.started_at_us) / 1e6,
+        return work.report(node.ledger, process, identity.generation, (now_us() - self.started_at_us) / 1e6,
                           1000.0 * time.process_time(), gauges)
 
     def _sweep(self) -> None:
@@ -264,7 +264,7 @@
         self.node.backends.limit(part.backends)
         self.node.most_held = part.requests
         if self.ops is not None:
-            self.ops.most = max(1, part.callers)
+            self.ops.max_connections = max(1, part.callers)
 
     def _adopt(self, sock: socket.socket) -> None:
         """Serve a client connection of the old process that is between two requests. The old process then holds one
@@ -304,7 +304,7 @@
 
     def on_successor_ready(self) -> None:
         """The new process serves: stop accepting, and close the peer socket in both directions."""
-        self.node.lifecycle.move(Cause.SUCCEEDED)
+        self.node.lifecycle.move(Cause.NEW_PROCESS_READY)
         if self.listening is not None:
             self.listening.close()
             self.listening = None
@@ -335,7 +335,7 @@
         self.node.log("hand-over: the second process is gone")
         self._share(self.sole_process_share, alone=True)
         handed = self.node.lifecycle.hands_over
-        self.node.lifecycle.move(Cause.ALONE)
+        self.node.lifecycle.move(Cause.NEW_PROCESS_GONE)
         if handed and not self.node.lifecycle.ending:
             self._spawn(self._listen())
             if self.peers_socket is not None:
--- a/headspar/recorder/file.py
+++ b/headspar/recorder/file.py
@@ -33,7 +33,7 @@
 
     def _open(self) -> None:
         if self.path.exists():  # of this process or of an earlier one
-            os.replace(self.path, older(self.path))
+            os.replace(self.path, rotated_path(self.path))
         self.file = self.path.open("w", encoding="utf-8")
         self.written = self.file.write(self.writer.head() + "\n")
 
@@ -68,7 +68,7 @@
                 self.log(f"recorder: {self.path}: {error.strerror or error}")
 
 
-def older(path: Path) -> Path:
+def rotated_path(path: Path) -> Path:
     """The path of the older half."""
     return path.with_name(path.name + ".1")
 
@@ -95,7 +95,7 @@
     """
     rows: list[Row] = []
     node = ""
-    for part in (older(path), path):
+    for part in (rotated_path(path), path):
         if part != path and not part.exists():
             continue
         reader = Reader()
@@ -103,12 +103,12 @@
         partial = lines.pop()
         for number, text in enumerate(lines, 1):
             try:
-                row = reader.take(text)
+                row = reader.read_line(text)
             except LineError as error:
                 raise LineError(f"{part}: line {number}: {error}") from None
             if row is not None:
                 rows.append(row)
-        if not reader.begun and part == path:
+        if not reader.has_header and part == path:
             raise LineError(f"{part}: line 1: no flight record" + (f" but {partial[:40]!r}" if partial else ""))
         node = reader.node or node
     return node, rows
--- a/headspar/recorder/line.py
+++ b/headspar/recorder/line.py
@@ -109,9 +109,9 @@
         self.began = self.wall = 0
         self.version = VERSION
         self.names: list[str] = []
-        self.begun = False
+        self.has_header = False
 
-    def take(self, text: str) -> Row | None:
+    def read_line(self, text: str) -> Row | None:
         """Returns the row of a line, None for a line without one; raises ``LineError`` for an invalid line."""
         try:
             raw = json.loads(text)
@@ -120,7 +120,7 @@
         if isinstance(raw, dict):
             self._take_header(raw)
             return None
-        if not self.begun:
+        if not self.has_header:
             raise LineError("no flight record: its first line is missing")
         return self._row(raw)
 
@@ -131,11 +131,11 @@
                 raise LineError(f"version {version!r} cannot be read, only {' and '.join(map(str, FIELDS))}")
             if not isinstance(began, int) or not isinstance(wall, int):
                 raise LineError("began and wall must be whole numbers")
-            self.node, self.begun, self.names = str(raw.get("node", "")), True, []
+            self.node, self.has_header, self.names = str(raw.get("node", "")), True, []
             self.version, self.began, self.wall = version, began, wall
             return
         names = raw.get("servers")
-        if not self.begun or not isinstance(names, list) or not all(isinstance(n, str) for n in names):
+        if not self.has_header or not isinstance(names, list) or not all(isinstance(n, str) for n in names):
             raise LineError("neither a first line nor a list of servers")
         self.names = names
 
--- a/tests/operations/test_states_and_figures.py
+++ b/tests/operations/test_states_and_figures.py
@@ -26,12 +26,12 @@
     ((Cause.STARTED, Cause.FAIL, Cause.FAIL), State.DRAINING, False, True),
     ((Cause.STARTED, Cause.FAIL, Cause.OK), State.READY, True, False),
     ((Cause.STARTED, Cause.OK, Cause.FAIL), State.DRAINING, False, True),
-    ((Cause.STARTED, Cause.SUCCEEDED), State.HANDING_OVER, False, False),
-    ((Cause.STARTED, Cause.FAIL, Cause.SUCCEEDED), State.HANDING_OVER, False, False),
-    ((Cause.STARTED, Cause.SUCCEEDED, Cause.ALONE), State.READY, True, False),
-    ((Cause.STARTED, Cause.SUCCEEDED, Cause.TERM), State.LEAVING, False, False),
-    ((Cause.STARTED, Cause.SUCCEEDED, Cause.TERM, Cause.ALONE), State.ENDING, False, True),
-    ((Cause.STARTED, Cause.TERM, Cause.SUCCEEDED), State.LEAVING, False, False),
+    ((Cause.STARTED, Cause.NEW_PROCESS_READY), State.HANDING_OVER, False, False),
+    ((Cause.STARTED, Cause.FAIL, Cause.NEW_PROCESS_READY), State.HANDING_OVER, False, False),
+    ((Cause.STARTED, Cause.NEW_PROCESS_READY, Cause.NEW_PROCESS_GONE), State.READY, True, False),
+    ((Cause.STARTED, Cause.NEW_PROCESS_READY, Cause.TERM), State.LEAVING, False, False),
+    ((Cause.STARTED, Cause.NEW_PROCESS_READY, Cause.TERM, Cause.NEW_PROCESS_GONE), State.ENDING, False, True),
+    ((Cause.STARTED, Cause.TERM, Cause.NEW_PROCESS_READY), State.LEAVING, False, False),
     ((Cause.STARTED, Cause.FAIL, Cause.TERM, Cause.OK), State.ENDING, False, True),
     ((Cause.TERM,), State.ENDING, False, True),
 ])
@@ -39,7 +39,7 @@
     causes: tuple[Cause, ...], state: State, ready: bool, closes: bool
 ) -> None:
     lifecycle = at(*causes)
-    assert (lifecycle.state, lifecycle.ready, lifecycle.sends_away) == (state, ready, closes)
+    assert (lifecycle.state, lifecycle.ready, lifecycle.closes_connections) == (state, ready, closes)
 
 
 def test_nothing_leads_out_of_ending_and_every_state_has_a_way_there() -> None:
@@ -57,7 +57,7 @@
     states: list[State] = []
     lifecycle = at(Cause.STARTED)
     lifecycle.watchers.append(states.append)
-    for cause in (Cause.OK, Cause.FAIL, Cause.FAIL, Cause.ALONE, Cause.OK):
+    for cause in (Cause.OK, Cause.FAIL, Cause.FAIL, Cause.NEW_PROCESS_GONE, Cause.OK):
         lifecycle.move(cause)
     assert states == [State.DRAINING, State.READY]
 
@@ -67,12 +67,12 @@
     ledger, in_progress = Ledger(["look", "pay"]), 0
     for _ in range(2000):
         if rng.random() < 0.55 or not in_progress:
-            ledger.took()
+            ledger.request_accepted()
             in_progress += 1
         else:
             in_progress -= 1
             if rng.random() < 0.1:
-                ledger.left()
+                ledger.client_disconnected()
             else:
                 ledger.answered(rng.choice(["look", "pay", "strange"]), rng.choice([200, 429, 503, 502, 504]))
         ends = [*ledger.classes.values(), ledger.others]
@@ -84,10 +84,10 @@
 
 def test_the_ledger_keeps_a_bound_on_names_and_what_vanished_classes_counted() -> None:
     ledger = Ledger(["old"])
-    ledger.took()
+    ledger.request_accepted()
     ledger.answered("old", 200)
-    ledger.name(["new"])
-    ledger.name(f"c{i}" for i in range(5000))
+    ledger.add_classes(["new"])
+    ledger.add_classes(f"c{i}" for i in range(5000))
     assert ledger.figures(0, 0)["replies"]["old"]["success"] == 1
     assert "new" in ledger.classes and len(ledger.classes) == MAX_CLASSES
 
--- a/tests/operations/test_work.py
+++ b/tests/operations/test_work.py
@@ -52,7 +52,7 @@
     for name in filled.classes:
         for status in (200, 503, 504):
             filled.answered(name, status, 0.7)
-    raw = json.dumps(work.shown(filled, "1-2-3", "g", 1.0, 1.0, {}))
+    raw = json.dumps(work.report(filled, "1-2-3", "g", 1.0, 1.0, {}))
     assert len(raw) < 64 * 1024
 
 
--- a/tests/recorder/test_record.py
+++ b/tests/recorder/test_record.py
@@ -10,7 +10,7 @@
 
 from headspar.decide import Balancer
 from headspar.interface import AttemptEnded, BackendBelief, Belief, ClientGone, Event, Outcome, RequestArrived, Send
-from headspar.recorder.file import Recorder, older, read
+from headspar.recorder.file import Recorder, read, rotated_path
 from headspar.recorder.line import COUNTS, LineError, Reader, Writer
 from tests.helpers import full, settings
 from tests.loopback import Backend, Node, wait_for
@@ -29,12 +29,12 @@
 
 def test_a_row_comes_back_as_it_was_believed_and_counts_are_what_is_new() -> None:
     w, r = Writer("n0"), Reader()
-    assert r.take(w.head()) is None
+    assert r.read_line(w.head()) is None
     rows = []
     for i in (1, 4):
         b = belief(i)
         for text in (w.names_line(b), w.row_line(b)):
-            row = r.take(text) if text is not None else None
+            row = r.read_line(text) if text is not None else None
             rows += [row] if row is not None else []
     assert r.node == "n0" and len(rows) == 2
     assert rows[1].counts == {"firsts": 30, "repeats": 6, "refused": 3, "failed": 0, "served": 27, "attempts": 33}
@@ -46,15 +46,15 @@
 
 def test_what_the_host_did_is_told_beside_it_and_a_record_of_the_first_version_is_still_read() -> None:
     w, r = Writer("n0", began=5, wall=7), Reader()
-    r.take(w.head())
+    r.read_line(w.head())
     assert (r.began, r.wall) == (5, 7)
-    rows = [r.take(w.row_line(belief(i, servers=0), done)) for i, done in ((1, (3, 1, 9)), (2, (4, 1, 12)))]
+    rows = [r.read_line(w.row_line(belief(i, servers=0), done)) for i, done in ((1, (3, 1, 9)), (2, (4, 1, 12)))]
     assert [row.host for row in rows if row is not None] == [
         {"connections": 3, "calls": 1, "datagrams": 9}, {"connections": 1, "calls": 0, "datagrams": 3}]
     r = Reader()
-    r.take('{"headspar":"flight","version":1,"node":"old"}')
-    r.take('{"servers":["a"]}')
-    row = r.take("[9,100,500,2000,40,600,700,10,2,1,0,9,11,3250,[[900,50,7,200,1]]]")
+    r.read_line('{"headspar":"flight","version":1,"node":"old"}')
+    r.read_line('{"servers":["a"]}')
+    row = r.read_line("[9,100,500,2000,40,600,700,10,2,1,0,9,11,3250,[[900,50,7,200,1]]]")
     assert row is not None and row.retries == 3.25 and row.counts["attempts"] == 11 and row.host["calls"] == 0
     assert row.servers["a"].out == 7 and r.wall == 0
 
@@ -91,7 +91,7 @@
     r = Reader()
     with pytest.raises(LineError, match=text):
         for line in lines:
-            r.take(line)
+            r.read_line(line)
 
 
 def test_the_file_stays_within_its_size_and_loses_only_the_oldest(tmp_path: Path) -> None:
@@ -117,7 +117,7 @@
         for i in range(start, start + 5):
             recorder.write(belief(i))
         recorder.close()
-    assert older(path).exists()
+    assert rotated_path(path).exists()
     name, rows = read(path)
     assert name == "n100" and len(rows) == 10
 
--- a/tests/rollout/test_for_people.py
+++ b/tests/rollout/test_for_people.py
@@ -51,7 +51,7 @@
 def test_the_operators_file_that_comes_along_names_every_key_at_its_default() -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
     assert operator_file.parse(text) == operator_file.Operator()
-    for name, _, _ in operator_file.rows(operator_file.Operator()):
+    for name, _, _ in operator_file.settings_rows(operator_file.Operator()):
         assert f"\n{name.partition('.')[2]} = " in text, name
 
 
--- a/tests/versions/forms.py
+++ b/tests/versions/forms.py
@@ -24,6 +24,14 @@
 NOW = 1_000_000
 
 
+def first_of(holder: Any, *names: str) -> Any:
+    """The attribute of ``holder`` under the first of these names that it has; earlier versions have earlier names."""
+    for name in names:
+        if hasattr(holder, name):
+            return getattr(holder, name)
+    raise ImportError(f"{holder!r} has none of {', '.join(names)}")
+
+
 def filled(kind: Any) -> Any:
     """A value of a msgspec type with something in every field."""
     return msgspec.convert(_raw(inspect.type_info(kind), 0), kind)
@@ -167,18 +175,19 @@
 
 
 def work() -> str:
+    from headspar.operations import work
     from headspar.operations.ledger import Ledger
-    from headspar.operations.work import shown
+    report = first_of(work, "report", "shown")
     ledger = Ledger(["look"])
     ledger.answered("look", 200, 0.7)
     ledger.answered("look", 503)
-    return json.dumps(shown(ledger, "7:1:boot", GENERATION, 9.5, 120.0, {"rss_mb": 40.0})) + "\n"
+    return json.dumps(report(ledger, "7:1:boot", GENERATION, 9.5, 120.0, {"rss_mb": 40.0})) + "\n"
 
 
 def identity() -> str:
     from headspar.identity import Identity
-    shown = Identity("n0", {}, False).shown("5e" * 32, 18, 2)
-    return json.dumps(shown | {"pid": 7, "started": 1, "boot": "boot", "program": "9a" * 32}) + "\n"
+    report = first_of(Identity("n0", {}, False), "report", "shown")("5e" * 32, 18, 2)
+    return json.dumps(report | {"pid": 7, "started": 1, "boot": "boot", "program": "9a" * 32}) + "\n"
 
 
 FORMS: dict[str, Callable[[], str]] = {
--- a/tests/versions/readers.py
+++ b/tests/versions/readers.py
@@ -133,7 +133,8 @@
 def read_flight(text: str) -> None:
     from headspar.recorder.line import Reader
     reader = Reader()
-    rows = [row for line in text.splitlines() if (row := reader.take(line)) is not None]
+    read_line = forms.first_of(reader, "read_line", "take")
+    rows = [row for line in text.splitlines() if (row := read_line(line)) is not None]
     assert reader.node == "n0" and len(rows) == 1 and rows[0].counts["served"] > 100
     assert len(rows[0].servers) == 4 and rows[0].k > 0
 
