--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -33,7 +33,7 @@
 
 from benchmarks.rig import Rig, earlier, progress, write_line
 from headspar.connections.plan import Answer, Plan, PlanSettings
-from headspar.connections.subset import Member, Subset, SubsetSettings
+from headspar.connections.subset import Subset, SubsetMember, SubsetSettings
 from headspar.lab.run import Result, run_scenario
 from headspar.world.audit import effects_per_key
 from headspar.world.scenario import parse
@@ -70,7 +70,7 @@
 
 def evenness(nodes: int = 40, servers: int = 1000, descriptors: int = 333) -> dict[str, int]:
     """By how many nodes each server is reached, and how much a node's reach changes with one server less."""
-    members = [Member(f"i-{i}", f"z{i % 3}", i // 12) for i in range(servers)]
+    members = [SubsetMember(f"i-{i}", f"z{i % 3}", i // 12) for i in range(servers)]
     tier = [Subset(SubsetSettings(descriptors, i, nodes)) for i in range(nodes)]
     count = Counter({m.id: 0 for m in members})
     exchanged = 0
--- a/benchmarks/gate.py
+++ b/benchmarks/gate.py
@@ -85,7 +85,7 @@
     "drains: told and not heeded": (
         "self.usable = entry.reachable and not self.drained", "self.usable = entry.reachable", "join"),
     "discovery: not asked again after a failure": (
-        "self.ask_at = now + int(pause * (0.5 + self.rng.random()))", "self.ask_at = now + 10**12", "join"),
+        "self.watch_at = now + int(pause * (0.5 + self.rng.random()))", "self.watch_at = now + 10**12", "join"),
     "discovery: what is gone from the list is kept": (
         "self.backends.pop(id).usable = False", "self.backends[id].usable = True", "join"),
     "repeats: the window is passed over": (
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -98,7 +98,7 @@
 
 def new_version(number: int) -> Callable[[Path], None]:
     def change(folder: Path) -> None:
-        path = folder / "program" / "headspar" / "reasons.py"
+        path = folder / "program" / "headspar" / "reason_phrases.py"
         path.write_text(path.read_text() + f"# version {number}\n")
 
     return change
--- a/headspar/connections/plan.py
+++ b/headspar/connections/plan.py
@@ -52,7 +52,7 @@
 from heapq import heapify, heappop, heappush
 from math import ceil, exp, sqrt
 
-from headspar.connections.idle_time import IDLE_MARGIN, Evidence, IdleTime, bucket
+from headspar.connections.idle_timeout import IDLE_MARGIN, Evidence, IdleTime, bucket
 
 FAILURES_FOR_LIMIT = 3  # new connections that fail in a row
 LIMIT_BACKOFF_US = (500_000, 8_000_000)  # before a connection beyond a limit is tried: initial, maximum
--- a/headspar/connections/subset.py
+++ b/headspar/connections/subset.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class SubsetMember:
     """A server that requests may be sent to."""
 
     id: str
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class SubsetChange:
     """The ids of servers that have entered and left the subset."""
 
     entered: list[str]
@@ -125,7 +125,7 @@
     def __init__(self, settings: SubsetSettings) -> None:
         self.change(settings)
         self.zones: dict[str, list[str]] = {}  # the ring of each zone: server ids in the order shared by all nodes
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, SubsetMember] = {}
         self.keys: dict[str, tuple[bytes, bytes]] = {}
         self.held: set[str] = set()
         self.size = 0  # target number of servers in the subset
@@ -140,7 +140,7 @@
         self.settings = settings
         self.ring_position = ring_position(settings.node, settings.nodes)
 
-    def update(self, members: Iterable[Member], now: int) -> Change:
+    def update(self, members: Iterable[SubsetMember], now: int) -> SubsetChange:
         """Applies a new list of servers; returns the immediate change of the subset.  ``now`` in us."""
         self.members = {m.id: m for m in members}
         self.keys = {id: self.keys.get(id) or _key(m) for id, m in self.members.items()}
@@ -168,12 +168,12 @@
         self._plan_swaps(wanted)
         return _change(before, self.held)
 
-    def tick(self, now: int) -> Change:
+    def tick(self, now: int) -> SubsetChange:
         """Makes the exchanges that are due; at most ``MAX_SWAPS`` of them, however long the last tick is ago."""
         settings = self.settings
         due = min(MAX_SWAPS, (now - self.swapped_at) // settings.swap_us)
         if self.whole or due < 1:
-            return Change([], [])
+            return SubsetChange([], [])
         self.swapped_at = now
         if self._rotating():
             self._plan_swaps(self.wanted(now))
@@ -182,9 +182,9 @@
         left = [self.leaving.pop() for _ in range(surplus)]
         self.held.update(entered)
         self.held.difference_update(left)
-        return Change(entered, left)
+        return SubsetChange(entered, left)
 
-    def cover(self) -> float:
+    def coverage(self) -> float:
         """The share of the servers in the subset, which is also the share of nodes that use a given server."""
         return len(self.held) / len(self.members) if self.members else 1.0
 
@@ -221,9 +221,9 @@
         self.leaving = sorted(self.held - wanted, key=node_order)
 
 
-def _key(m: Member) -> tuple[bytes, bytes]:
+def _key(m: SubsetMember) -> tuple[bytes, bytes]:
     return _hash(f"{m.zone}/{m.cell}"), _hash(m.id)
 
 
-def _change(before: set[str], after: set[str]) -> Change:
-    return Change(sorted(after - before), sorted(before - after))
+def _change(before: set[str], after: set[str]) -> SubsetChange:
+    return SubsetChange(sorted(after - before), sorted(before - after))
--- a/headspar/decide.py
+++ b/headspar/decide.py
@@ -106,7 +106,7 @@
 PEER_UNIT_US = 4_096  # work per unit in a message
 PEER_MAX_BACKENDS = 70  # backends in a message of at most 256 bytes, not counting those reported as out
 OUT_REPORT_US = 6_000_000  # how long this node reports a backend to peers as out
-OUT_MOST = 20  # backends reported as out in one message
+OUT_MAX_BACKENDS = 20  # backends reported as out in one message
 OUT_MESSAGE_SHARE = 0.3  # full messages per request, for backends reported as out
 AVOID_US = 10_000_000  # how long a backend is avoided on peers' reports alone
 SPEED_MEMORY_US = 12_000_000  # time constant of latencies, at least
@@ -558,19 +558,20 @@
         self.capacity, self.rng = capacity, rng
         self.by_tag: dict[int, Backend] = {}
         # by peer: time of its last report, and the work that it reported for each backend
-        self.heard: dict[int, tuple[int, list[tuple[Backend, int]]]] = {}
+        self.reports: dict[int, tuple[int, list[tuple[Backend, int]]]] = {}
         self.message_at = self.out_message_at = 0
         self.version = 0  # version of discovery's list
         self.out_since: dict[int, int] = {}  # by tag: when discovery reported the backend as out
         self.first_reporter: dict[int, int] = {}  # by tag: the first peer that reported the backend as out
-        self.spared: dict[int, int] = {}  # by tag: until when a backend that two peers reported as out is avoided
+        # by tag: until when a backend that two peers reported as out is avoided
+        self.avoided_until: dict[int, int] = {}
 
     def list_updated(self, event: BackendList, before: dict[int, Backend], now: int) -> None:
         """Handle an update of discovery's list: it replaces the peers' reports, and decides which backends are
         reported to peers as out."""
         self.version = event.version
         self.first_reporter.clear()
-        self.spared.clear()
+        self.avoided_until.clear()
         draining = {tag for tag, b in self.by_tag.items() if b.drained}
         gone = self.out_since.keys() | before.keys()
         self.out_since = {
@@ -580,7 +581,7 @@
 
     def next_message(self, pool: list[Backend], now: int) -> bytes | None:
         """The message to the peers that is due now, or None."""
-        for peer in [p for p, (at, _) in self.heard.items() if now - at > PEER_STALE_US]:
+        for peer in [p for p, (at, _) in self.reports.items() if now - at > PEER_STALE_US]:
             self._drop_report(peer)
         data = bytearray()
         if self.count and now >= self.message_at:
@@ -596,7 +597,7 @@
             data = data[:len(data) // 3 * 3]
             size = len(data)
             data += (self.version & 0xFFFF).to_bytes(2, "big") + b"\0"
-            for tag in self.rng.sample(tags, min(OUT_MOST, len(tags))):
+            for tag in self.rng.sample(tags, min(OUT_MAX_BACKENDS, len(tags))):
                 data += tag.to_bytes(2, "big")
             self.out_message_at = now + self._pause(len(data) - size, OUT_MESSAGE_SHARE)
         return bytes(data) or None
@@ -614,11 +615,11 @@
         data, reported = event.data, list[tuple[Backend, int]]()
         end = next((i for i in range(0, len(data) - 2, 3) if not data[i + 2]), len(data) // 3 * 3)
         rest = len(data) - end  # nothing, the single byte of an idle node, or a report of backends that are out
-        if rest and data != b"\0" and not (rest > 3 and rest % 2 and rest <= 3 + 2 * OUT_MOST):
+        if rest and data != b"\0" and not (rest > 3 and rest % 2 and rest <= 3 + 2 * OUT_MAX_BACKENDS):
             return False
         if len(data) < 3 or data[2]:  # a report of out backends alone leaves the peer's outstanding work unchanged
             self._drop_report(event.peer)
-            self.heard[event.peer] = (now, reported)
+            self.reports[event.peer] = (now, reported)
             self.capacity.peer_weight = PEER_WEIGHT / self.capacity.senders
         at = 0
         while at + 2 < len(data) and data[at + 2]:
@@ -633,21 +634,21 @@
             for i in range(at + 3, len(data) - 1, 2):  # the peer's list is newer
                 tag = data[i] << 8 | data[i + 1]
                 if tag in self.by_tag and self.first_reporter.setdefault(tag, event.peer) != event.peer:
-                    newly_avoided |= tag not in self.spared
-                    self.spared[tag] = now + AVOID_US
+                    newly_avoided |= tag not in self.avoided_until
+                    self.avoided_until[tag] = now + AVOID_US
         return newly_avoided
 
     def expire(self, now: int) -> bool:
         """Drop expired reports; returns whether any backend is no longer avoided, as discovery has sent no update
         since."""
-        ended = [tag for tag, until in self.spared.items() if now >= until]
+        ended = [tag for tag, until in self.avoided_until.items() if now >= until]
         for tag in ended:
-            del self.spared[tag], self.first_reporter[tag]
+            del self.avoided_until[tag], self.first_reporter[tag]
         return bool(ended)
 
     def _drop_report(self, peer: int) -> None:
         """Remove the outstanding work that a peer has reported."""
-        for b, work in self.heard.pop(peer, (0, []))[1]:
+        for b, work in self.reports.pop(peer, (0, []))[1]:
             b.peers -= work
 
 
@@ -932,13 +933,13 @@
         self.settings, self.rng = settings, rng
         self.backends: dict[str, Backend] = {}
         self.subscribes = settings.must_subscribe
-        self.ask_at: int | None = None
+        self.watch_at: int | None = None
         self.failures = 0
 
     def start(self, now: int) -> None:
         """Schedule the first watch, at a random time so that nodes don't call discovery together."""
         if self.subscribes:
-            self.ask_at = now + int(self.rng.random() * 0.4 * self.settings.ask_every_us)
+            self.watch_at = now + int(self.rng.random() * 0.4 * self.settings.ask_every_us)
 
     def apply(self, event: BackendList, now: int) -> list[Backend]:
         """Apply a message of discovery; returns the backends that are new or have restarted."""
@@ -948,7 +949,7 @@
                 # The maximum pause is short: the node whose calls fail most often has the oldest list.
                 self.failures += 1
                 pause = min(0.8 * self.settings.ask_every_us, WATCH_RETRY_US[1], WATCH_RETRY_US[0] * 2**self.failures)
-                self.ask_at = now + int(pause * (0.5 + self.rng.random()))
+                self.watch_at = now + int(pause * (0.5 + self.rng.random()))
             return added
         if event.kind in (ListKind.DELTA, ListKind.FULL):
             self.failures = 0
@@ -1053,7 +1054,7 @@
     def _set_pool(self) -> None:
         """Use the backends that discovery lists as ready and that peers don't report as out."""
         self.picker.set_pool([
-            b for b in self.membership.backends.values() if b.usable and b.tag not in self.peers.spared
+            b for b in self.membership.backends.values() if b.usable and b.tag not in self.peers.avoided_until
         ])
         self.picker.classify()
 
@@ -1075,7 +1076,7 @@
         self.tick_at = now + INTERVAL_US
         for cls in self.classes:
             cls.refit()
-        if self.peers.spared and self.peers.expire(now):
+        if self.peers.avoided_until and self.peers.expire(now):
             self._set_pool()
         # After a pause of the node's own process, unread answers are still in its sockets, so the apparent wait of
         # attempts in flight is not evidence of a slow server.
@@ -1090,8 +1091,8 @@
         # servers complete, rather than nothing followed by everything.
         self.admission.tick(c.acc, min(1.0, QUEUE_DRAIN_SHARE * c.served_rate / max(1.0, c.work_rate)))
         m = self.membership
-        if m.ask_at is not None and now >= m.ask_at:
-            m.ask_at = None
+        if m.watch_at is not None and now >= m.watch_at:
+            m.watch_at = None
             self.actions.append(Watch(True))
         if self.reasons and now >= self.log_at:
             self.log_at = now + LOG_EVERY_US
@@ -1266,7 +1267,7 @@
             self.failed += 1
         self._finish(r)
 
-    def avoided(self) -> int:
+    def unavailable_count(self) -> int:
         """How many listed backends get no ordinary requests now: draining, not reachable or unhealthy."""
         return sum(1 for b in self.membership.backends.values() if not b.usable or b.health < UNHEALTHY)
 
@@ -1339,7 +1340,7 @@
             b.last_ok, b.probe_at, b.probe_pause = s.last_ok, s.trial_at, s.trial_pause
         m = self.membership
         if m.subscribes and e.soon:
-            m.ask_at = now + int(self.rng.random() * RESTORED_WATCH_US)
+            m.watch_at = now + int(self.rng.random() * RESTORED_WATCH_US)
         self.tick_at = now  # recompute Nm_i from the restored state
 
     def _settings_changed(self, e: SettingsChanged, now: int) -> None:
--- a/headspar/model/node.py
+++ b/headspar/model/node.py
@@ -41,8 +41,8 @@
 from headspar.model.ports import Asked
 from headspar.model.references import Policy
 from headspar.model.servers import CashServer, Connection
+from headspar.node.backend_subset import Reach, subset_settings
 from headspar.node.backends import plan_settings
-from headspar.node.reach import Reach, subset_settings
 from headspar.operator_file import Connections as ConnectionsTable
 
 # Versions from before upgrades handed beliefs over know no such event; theirs are cold starts of the mind.
--- a/headspar/model/versions.py
+++ b/headspar/model/versions.py
@@ -11,6 +11,7 @@
 import hashlib
 import importlib.abc
 import importlib.machinery
+import importlib.util
 import io
 import os
 import subprocess
@@ -25,6 +26,8 @@
 import msgspec
 
 OURS = ("headspar.model", "headspar.world")  # of the tree that runs, whatever the version
+# Modules that the model imports: this tree's name -> the name in the trees of earlier versions.
+RENAMED_MODULES = {"headspar.node.backend_subset": "headspar.node.reach"}
 HERE = Path(__file__).resolve().parents[2]
 GIT_S = 60
 
@@ -141,7 +144,10 @@
 
 
 class Finder(importlib.abc.MetaPathFinder):
-    """Gives ``headspar.*`` from a version's tree; model and world stay this tree's."""
+    """Gives ``headspar.*`` from a version's tree; model and world stay this tree's.
+
+    A module in ``RENAMED_MODULES`` is also looked for under its earlier name in the version's tree.
+    """
 
     def __init__(self, tree: Path) -> None:
         self.tree = tree
@@ -158,6 +164,10 @@
             # What an older version has not split off yet, and the model calls, is this tree's.
             folder = root.joinpath(*fullname.split(".")[:-1])
             found = importlib.machinery.PathFinder.find_spec(fullname, [str(folder)])
+            if found is None and root == self.tree and fullname in RENAMED_MODULES:
+                file = root.joinpath(*RENAMED_MODULES[fullname].split(".")).with_suffix(".py")
+                if file.is_file():
+                    found = importlib.util.spec_from_file_location(fullname, file)
             if found is not None:
                 return found
         return None
--- a/headspar/node/__init__.py
+++ b/headspar/node/__init__.py
@@ -3,11 +3,11 @@
 core                requests, attempts, timers, deadlines; the only caller of ``Balancer.handle``
 clients             one client connection: requests, answers, /healthz
 client_connections  all client connections: limits, drains, time-outs
-intake              admission rules by request class
+request_validation  admission rules by request class
 backends            pooled connections to backends, attempts and their outcomes
 discovery           the list of backends, and the watch on its changes
 chain               state machine of that watch, without I/O
-reach               the subset of backends that this node may use
+backend_subset      the subset of backends that this node may use
 peers               datagrams between nodes
-standstill          detection of process pauses
+pause_detector      detection of process pauses
 """
--- a/headspar/node/reach.py
+++ b/headspar/node/backend_subset.py
@@ -8,7 +8,7 @@
 
 from dataclasses import replace
 
-from headspar.connections.subset import Change, Member, Subset, SubsetSettings
+from headspar.connections.subset import Subset, SubsetChange, SubsetMember, SubsetSettings
 from headspar.interface import BackendEntry, BackendList, Health, ListKind, Settings
 from headspar.operator_file import Connections
 
@@ -28,7 +28,7 @@
     def __init__(self, subset: Subset) -> None:
         self.subset = subset
         self.entries: dict[str, BackendEntry] = {}
-        self.ready: dict[str, Member] = {}
+        self.ready: dict[str, SubsetMember] = {}
         self.draining: dict[str, int] = {}  # by backend: when this node was notified of its drain
         self.version = 0
 
@@ -58,14 +58,14 @@
             else:
                 self.draining.pop(entry.backend, None)
             if entry.health is Health.READY:
-                self.ready[entry.backend] = Member(entry.backend, entry.zone, entry.cell)
+                self.ready[entry.backend] = SubsetMember(entry.backend, entry.zone, entry.cell)
         change = self.subset.update(self.ready.values(), now)
         held = self.subset.held
         for entry in event.entries:
             entry.reachable = entry.health is not Health.READY or entry.backend in held
         named = {entry.backend for entry in event.entries}
         moved = self._moved(change, named)
-        return BackendList(event.kind, event.version, event.entries + moved, self.subset.cover()), change.left
+        return BackendList(event.kind, event.version, event.entries + moved, self.subset.coverage()), change.left
 
     def tick(self, now: int) -> tuple[BackendList | None, list[str]]:
         """Advance the subset if a step is due. Return the update for the balancer, or None, and the backends that
@@ -73,9 +73,10 @@
         change = self.subset.tick(now)
         if not change:
             return None, []
-        return BackendList(ListKind.REACH, self.version, self._moved(change, set()), self.subset.cover()), change.left
+        moved = self._moved(change, set())
+        return BackendList(ListKind.REACH, self.version, moved, self.subset.coverage()), change.left
 
-    def _moved(self, change: Change, named: set[str]) -> list[BackendEntry]:
+    def _moved(self, change: SubsetChange, named: set[str]) -> list[BackendEntry]:
         out = []
         for ids, reachable in ((change.entered, True), (change.left, False)):
             for id in ids:
--- a/headspar/node/backends.py
+++ b/headspar/node/backends.py
@@ -339,7 +339,7 @@
         self.node, self.max_connections, self.budget = node, max_connections, budget
         self.hosts: dict[str, Host] = {}
         self.draining: Mapping[str, int] = {}  # by backend: when this node was notified of its drain
-        self.young: set[Host] = set()  # backends in slow start, which may be cold
+        self.in_slow_start: set[Host] = set()  # backends in slow start, which may be cold
         self.connections: dict[int, Connection] = {}  # by the plan's connection numbers
         self.tasks: set[asyncio.Task[None]] = set()
         self.plan = Plan(plan_settings(file, node.settings, max_connections), node.settings.me)
@@ -351,7 +351,7 @@
         self.repeatable = {c.name for c in settings.classes if c.effect is Effect.RETRYABLE}
         self.plan.change(settings.idle_close_us, settings.balancers)
 
-    def place(self, id: str, address: Address, started_at: int) -> None:
+    def add_or_update(self, id: str, address: Address, started_at: int) -> None:
         host = self.hosts.get(id)
         if host is None or host.address != address or started_at > host.started_at:
             self.remove(id)
@@ -361,7 +361,7 @@
             self.plan.place(id, now_us())
             self.plan.warmth(id, self.node.settings.warm_share(started_at, now_us()))
             if started_at:
-                self.young.add(host)
+                self.in_slow_start.add(host)
 
     def remove(self, id: str) -> None:
         host = self.hosts.pop(id, None)
@@ -395,7 +395,7 @@
         if since is not None and now - since >= grace - min(DRAIN_MARGIN_US, grace // 2):
             return False
         host = self.hosts.get(attempt.backend)
-        if host in self.young and now - attempt.sent_at > self.node.settings.fall_us // COLD_WAIT_DIVISOR:
+        if host in self.in_slow_start and now - attempt.sent_at > self.node.settings.fall_us // COLD_WAIT_DIVISOR:
             return False  # attempts that waited for one late connection would arrive as one burst
         if r.client is not None and not r.client.is_connected():
             r.client.disconnected()
@@ -498,7 +498,7 @@
         self.max_connections = max_connections
         self._close(self.plan.limit(max_connections))
 
-    def let_go(self, ids: list[str]) -> None:
+    def close_unreachable(self, ids: list[str]) -> None:
         """Stop using backends that have become unreachable, and close their idle connections."""
         for id in ids:
             self._close(self.plan.doubt(id))
@@ -508,12 +508,12 @@
         if host is not None and host.last_received_at < attempt.sent_at:
             self._close(self.plan.doubt(host.id))
 
-    def tend(self, now: int) -> None:
+    def maintain(self, now: int) -> None:
         """Close and open connections ahead of demand as the plan says; called a few times a second."""
-        for host in list(self.young):
+        for host in list(self.in_slow_start):
             share = self.node.settings.warm_share(host.started_at, now)
             if share >= 1.0 or self.hosts.get(host.id) is not host:
-                self.young.discard(host)
+                self.in_slow_start.discard(host)
             if self.hosts.get(host.id) is host:
                 self.plan.warmth(host.id, share)
         close, ahead = self.plan.tick(now)
--- a/headspar/node/client_connections.py
+++ b/headspar/node/client_connections.py
@@ -9,7 +9,7 @@
 
 from headspar.node.backends import Budget
 from headspar.node.core import Node, now_us
-from headspar.node.intake import Intake
+from headspar.node.request_validation import Intake
 from headspar.operations.lifecycle import State
 
 if TYPE_CHECKING:
--- a/headspar/node/clients.py
+++ b/headspar/node/clients.py
@@ -15,7 +15,7 @@
 
 from headspar.node.backends import MAX_BODY, MAX_HEAD
 from headspar.node.core import Request, now_us
-from headspar.reasons import REASONS
+from headspar.reason_phrases import REASONS
 
 if TYPE_CHECKING:
     from headspar.node.backends import Connection
@@ -358,8 +358,8 @@
         if not early_status and r is not None:
             if r.body or r.head.startswith(b"POST"):
                 r.extra += b"Content-Length: %d\r\n" % sum(map(len, r.body))
-            r.came = self.unread_since or self.node.arrival_time()
-            r.deadline = r.came + r.budget_us
+            r.arrived_at = self.unread_since or self.node.arrival_time()
+            r.deadline = r.arrived_at + r.budget_us
             if self.current is not None:
                 self.node.shorten_deadline(self.current, r.deadline)
         self.continue_due = False
--- a/headspar/node/core.py
+++ b/headspar/node/core.py
@@ -39,16 +39,16 @@
     TimerFired,
     Watch,
 )
-from headspar.node.standstill import PauseDetector
+from headspar.node.pause_detector import PauseDetector
 from headspar.operations.ledger import Ledger
 from headspar.operations.lifecycle import Lifecycle
 
 if TYPE_CHECKING:
+    from headspar.node.backend_subset import Reach
     from headspar.node.backends import Backends, Connection
     from headspar.node.clients import Client
     from headspar.node.discovery import Discovery
     from headspar.node.peers import Peers
-    from headspar.node.reach import Reach
     from headspar.recorder.file import Recorder
 
 TIMER_RESOLUTION_US = 2_000
@@ -74,7 +74,7 @@
     __slots__ = (
         "key", "client", "head", "call_id", "cls", "tenant", "target_key", "budget_us", "hint_us",
         "is_repeat", "extra", "body", "size", "deadline", "live", "attempts", "outstanding", "stream",
-        "client_left", "attempt_limit", "proven_only", "came",
+        "client_left", "attempt_limit", "proven_only", "arrived_at",
     )
 
     def __init__(self, client: Client) -> None:
@@ -91,7 +91,7 @@
         self.extra = b""
         self.body: list[bytes | bytearray] = []
         self.size = 0
-        self.came = 0  # earliest time at which it may have been complete, us
+        self.arrived_at = 0  # earliest time at which it may have been complete, us
         self.deadline = 0
         self.live = False
         self.client_left = False  # the client disconnected before it was answered
@@ -137,7 +137,7 @@
         self.due: list[tuple[int, int, int, str]] = []  # heap of (time, kind, number, request's key)
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
-        self.standstill = PauseDetector(now_us())
+        self.pause_detector = PauseDetector(now_us())
         self.lists_first = False  # a process pause has just ended: lists are applied before anything is decided
         self.closing = False  # the process ends soon: new requests are refused
         self.recorder: Recorder | None = None
@@ -184,18 +184,18 @@
 
     def heartbeat(self) -> None:
         """Record a heartbeat; called several times a second."""
-        self.standstill.beats(self._check_pause())
+        self.pause_detector.heartbeat(self._check_pause())
 
     def _check_pause(self) -> int:
         """Return the time, after checking whether a process pause has just ended."""
         now = now_us()
-        if self.standstill.detect(now):
+        if self.pause_detector.detect(now):
             self._on_pause_end(now)
         return now
 
     def _on_pause_end(self, now: int) -> None:
         """A process pause has ended: read what has arrived meanwhile, lists first, before any decision."""
-        self.log(f"stood still for {(now - self.standstill.since) / 1e6:.1f} s")
+        self.log(f"stood still for {(now - self.pause_detector.since) / 1e6:.1f} s")
         self.lists_first = self.processing_scheduled = True
         # Each hop is one iteration of the loop, in which it reads its sockets.
         self.loop.call_soon(self.loop.call_soon, self.loop.call_soon, self._process_events_after_pause)
@@ -234,7 +234,7 @@
 
     def arrival_time(self) -> int:
         """Return the earliest time at which what is read now may have arrived, us."""
-        return self.standstill.earliest_arrival(self._check_pause())
+        return self.pause_detector.earliest_arrival(self._check_pause())
 
     def retry_after(self) -> int:
         """Return the Retry-After of requests that the node itself refuses, us; 0 if the settings send none."""
@@ -351,7 +351,7 @@
                 if client is not None:
                     client.serve(body, content_type)
         sent_at = attempt.sent_at
-        latency = attempt.first_at - sent_at if attempt.first_at else self.standstill.elapsed(sent_at, now)
+        latency = attempt.first_at - sent_at if attempt.first_at else self.pause_detector.elapsed(sent_at, now)
         self.post(AttemptEnded(r.key, attempt.number, attempt.backend, outcome, latency, final, report))
         # The end of the last attempt of an answered request also ends the request. If it were kept, requests would
         # fill the memory, the budget for bodies and finally ``most_held``.
@@ -360,11 +360,11 @@
     def _relative_time(self, r: Request, now: int) -> float:
         """Return the time a request has taken relative to its latency target; 0 for an unknown class."""
         aim, stretch = self.aims.get(r.cls, (0, 0.0))
-        return (now - r.came) / (aim + stretch * (r.hint_us or 0)) if aim else 0.0
+        return (now - r.arrived_at) / (aim + stretch * (r.hint_us or 0)) if aim else 0.0
 
     def figures(self) -> dict[str, Any]:
         """Return the content of ``GET /stats``; the balancer reports which backends are avoided."""
-        return self.ledger.figures(len(self.reach.entries), self.balancer.avoided())
+        return self.ledger.figures(len(self.reach.entries), self.balancer.unavailable_count())
 
     # ------------------------------------------------------------ actions of the balancer
 
@@ -500,15 +500,15 @@
         event, out_of_reach = self.reach.told(event, now_us())
         self.backends.draining = self.reach.draining
         self.post(event)
-        self.backends.let_go(out_of_reach)
+        self.backends.close_unreachable(out_of_reach)
 
     def advance_reach(self, now: int) -> None:
         """Advance the subset of backends if a step is due; called periodically."""
         event, out_of_reach = self.reach.tick(now)
         if event is not None:
             self.post(event)
-            self.backends.let_go(out_of_reach)
+            self.backends.close_unreachable(out_of_reach)
 
     def on_peer_message(self, peer: int, data: bytes) -> None:
-        if not self.standstill.stale(self._check_pause()):  # after a pause a message's age is unknown
+        if not self.pause_detector.stale(self._check_pause()):  # after a pause a message's age is unknown
             self.post(PeerMessage(peer, data))
--- a/headspar/node/discovery.py
+++ b/headspar/node/discovery.py
@@ -279,5 +279,5 @@
                                 int(row.get("cell") or 0), health, 1.0, started)
         entry = BackendEntry(id, str(row["zone"]), str(row.get("machineType", "")), int(row.get("cell") or 0),
                              health, float(row.get("weight", 1.0)), started)
-        self.backends.place(id, parse_address(row["hostPort"], "hostPort"), started)
+        self.backends.add_or_update(id, parse_address(row["hostPort"], "hostPort"), started)
         return entry
--- a/headspar/node/standstill.py
+++ b/headspar/node/pause_detector.py
@@ -33,7 +33,7 @@
         self.count += 1
         return True
 
-    def beats(self, now: int) -> None:
+    def heartbeat(self, now: int) -> None:
         """Record a heartbeat. Call ``detect`` first."""
         self.last_beat = now
 
--- a/headspar/operations/calls.py
+++ b/headspar/operations/calls.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from headspar.operations.lifecycle import Cause, Lifecycle
-from headspar.reasons import REASONS
+from headspar.reason_phrases import REASONS
 
 
 @dataclass(slots=True)
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -24,13 +24,13 @@
 from headspar.handover.old_process import OldProcess
 from headspar.handover.transitions import OldProcessState
 from headspar.identity import Identity, descriptors, resident_mb, settings_digest
+from headspar.node.backend_subset import Reach, subset_settings
 from headspar.node.backends import Backends, Budget
 from headspar.node.client_connections import ClientConnections
 from headspar.node.clients import Client
 from headspar.node.core import Node, now_us
 from headspar.node.discovery import Discovery
 from headspar.node.peers import Peers
-from headspar.node.reach import Reach, subset_settings
 from headspar.operations import listener as operators
 from headspar.operations import work
 from headspar.operations.calls import Calls
@@ -135,12 +135,12 @@
         if beliefs is not None:
             node.restore(beliefs.experience, soon=inherited is not None)
             node.backends.plan.recall(beliefs.learned, now_us())
-        node.standstill.beats(now_us())
+        node.pause_detector.heartbeat(now_us())
         node.flush_events()  # the balancer must have its list of servers before the node reports ready
         if config.ops:
             self.ops = operators.Listener(self.calls, loop, bind_socket(config.ops))
         await self._listen()
-        node.standstill.beats(now_us())  # time spent on starting does not count as a process pause
+        node.pause_detector.heartbeat(now_us())  # time spent on starting does not count as a process pause
         node.lifecycle.move(Cause.STARTED)
         if inherited is not None:
             self.new_process = NewProcess(
@@ -210,7 +210,7 @@
         found = self._identity()
         gauges = {"memory_mb": round(resident_mb(), 1), "descriptors": float(descriptors()),
                   "servers": float(found["servers"]), "cold": float(found["cold"]),
-                  "disabled": float(node.balancer.avoided())}
+                  "disabled": float(node.balancer.unavailable_count())}
         process = f"{found['pid']}-{found['started']}-{found['boot'][:8]}"
         return work.report(node.ledger, process, identity.generation, (now_us() - self.started_at_us) / 1e6,
                           1000.0 * time.process_time(), gauges)
@@ -224,7 +224,7 @@
 
     def _maintain(self) -> None:
         self.node.heartbeat()
-        self.node.backends.tend(now_us())
+        self.node.backends.maintain(now_us())
         self.server.check_clients(now_us())
         self.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
 
--- a/tests/connections/test_plan.py
+++ b/tests/connections/test_plan.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from headspar.connections.idle_time import FIRST_BUCKET_US, IDLE_MARGIN, Evidence, IdleTime, bucket
+from headspar.connections.idle_timeout import FIRST_BUCKET_US, IDLE_MARGIN, Evidence, IdleTime, bucket
 from headspar.connections.plan import REVIEW_INTERVAL_US, Answer, Plan, PlanSettings
 
 MS, S = 1_000, 1_000_000
--- a/tests/connections/test_socket_side.py
+++ b/tests/connections/test_socket_side.py
@@ -107,7 +107,7 @@
     made: list[Server] = []
     server = await asyncio.get_running_loop().create_server(lambda: Server(made), *free_address())
     async with core(**changes) as c:
-        c.backends.place("s", server.sockets[0].getsockname(), 0)
+        c.backends.add_or_update("s", server.sockets[0].getsockname(), 0)
         yield c, made
     server.close()
 
@@ -129,7 +129,7 @@
         listener.bind(free_address())
         listener.listen()
         async with core() as c:
-            c.backends.place("s", listener.getsockname(), 0)
+            c.backends.add_or_update("s", listener.getsockname(), 0)
             real = c.loop.create_connection
 
             async def slow(*args: Any, **kw: Any) -> Any:
@@ -190,7 +190,7 @@
     async def scenario() -> None:
         with deaf() as address:
             async with core(connect_timeout_us=200_000) as c:
-                c.backends.place("s", address, 0)
+                c.backends.add_or_update("s", address, 0)
                 attempts = [c.attempt() for _ in range(2 * MAKING + WAITING + 10)]
                 at_once = len(c.ends)
                 assert c.outcomes() == [Outcome.MOOT] * at_once and at_once >= 10
@@ -258,11 +258,11 @@
     async def scenario() -> None:
         with deaf() as address:
             async with core(connect_timeout_us=9 * S) as c:
-                c.backends.place("s", address, 0)
+                c.backends.add_or_update("s", address, 0)
                 attempts = [c.attempt() for _ in range(3)]
                 assert not c.ends
                 if again:
-                    c.backends.place("s", address, now_us())  # the same id and address after a restart
+                    c.backends.add_or_update("s", address, now_us())  # the same id and address after a restart
                 else:
                     c.backends.remove("s")
                 assert c.outcomes() == [Outcome.MOOT] * 3 and all(a.ended for a in attempts)
@@ -276,7 +276,7 @@
     async def scenario() -> None:
         async with serving() as (c, made):
             c.attempt()
-            c.backends.place("s", c.backends.hosts["s"].address, now_us())
+            c.backends.add_or_update("s", c.backends.hosts["s"].address, now_us())
             assert c.outcomes() == [Outcome.MOOT]
             await until(lambda: not c.backends.tasks)
             assert not c.backends.connections and not c.backends.plan.connections
@@ -292,7 +292,7 @@
             await requests_received(made, 1)
 
             def tended() -> bool:
-                c.backends.tend(now_us())
+                c.backends.maintain(now_us())
                 return len(c.backends.plan.idle) == 1
 
             await until(tended)
@@ -311,7 +311,7 @@
             await requests_received(made, 1)
             made[0].answer()
             await until(lambda: len(c.backends.plan.idle) == 1)
-            c.backends.let_go(["s", "nobody"])
+            c.backends.close_unreachable(["s", "nobody"])
             assert not c.backends.connections and not c.backends.plan.connections
 
     run(scenario())
@@ -349,16 +349,16 @@
         async with core(cold_share=0.2, ramp_us=20 * S) as c:
             now = now_us()
             for id, started in (("old", 0), ("cold", now), ("half", now - 10 * S), ("warm", now - 30 * S)):
-                c.backends.place(id, ("127.0.0.1", 1), started)
+                c.backends.add_or_update(id, ("127.0.0.1", 1), started)
             servers = c.backends.plan.servers
 
             def warm() -> list[float]:
                 return [round(servers[id].warm, 1) for id in ("old", "cold", "half", "warm")]
 
             assert warm() == [1.0, 0.2, 0.6, 1.0]
-            c.backends.tend(now + 10 * S)
+            c.backends.maintain(now + 10 * S)
             assert warm() == [1.0, 0.6, 1.0, 1.0]
-            c.backends.tend(now + 21 * S)
-            assert warm() == [1.0] * 4 and not c.backends.young
+            c.backends.maintain(now + 21 * S)
+            assert warm() == [1.0] * 4 and not c.backends.in_slow_start
 
     run(scenario())
--- a/tests/connections/test_subset.py
+++ b/tests/connections/test_subset.py
@@ -9,23 +9,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from headspar.connections.subset import Member, Subset, SubsetSettings, ring_position, shares
+from headspar.connections.subset import Subset, SubsetMember, SubsetSettings, ring_position, shares
 
 S = 1_000_000
 
 
-def fleet(count: int, zones: int = 3, cell_size: int = 4, first: int = 0) -> list[Member]:
-    return [Member(f"i-{i}", f"z{i % zones}", i // zones // cell_size) for i in range(first, first + count)]
+def fleet(count: int, zones: int = 3, cell_size: int = 4, first: int = 0) -> list[SubsetMember]:
+    return [SubsetMember(f"i-{i}", f"z{i % zones}", i // zones // cell_size) for i in range(first, first + count)]
 
 
-def node_subsets(nodes: int, most: int, members: list[Member]) -> list[Subset]:
+def node_subsets(nodes: int, most: int, members: list[SubsetMember]) -> list[Subset]:
     out = [Subset(SubsetSettings(most, i, nodes)) for i in range(nodes)]
     for subset in out:
         subset.update(members, 1)
     return out
 
 
-def nodes_per_server(subsets: list[Subset], members: list[Member]) -> Counter[str]:
+def nodes_per_server(subsets: list[Subset], members: list[SubsetMember]) -> Counter[str]:
     count = Counter({m.id: 0 for m in members})
     for subset in subsets:
         count.update(subset.held)
@@ -45,7 +45,7 @@
 
 def test_a_fleet_that_fits_is_in_reach_as_a_whole() -> None:
     subset = Subset(SubsetSettings(most=80))
-    assert len(subset.update(fleet(70), 1).entered) == 70 and subset.whole and subset.cover() == 1.0
+    assert len(subset.update(fleet(70), 1).entered) == 70 and subset.whole and subset.coverage() == 1.0
     assert not subset.tick(10 * S)
     change = subset.update(fleet(71), 2)
     assert not subset.whole and len(subset.held) == 40 and len(change.left) == 30 + len(change.entered)
@@ -62,7 +62,8 @@
 
 
 def test_zones_are_reached_in_proportion() -> None:
-    members = [Member(f"a{i}", "a", 0) for i in range(800)] + [Member(f"b{i}", "b", 0) for i in range(200)]
+    members = [SubsetMember(f"a{i}", "a", 0) for i in range(800)]
+    members += [SubsetMember(f"b{i}", "b", 0) for i in range(200)]
     for subset in node_subsets(40, 300, members):
         got = Counter(id[0] for id in subset.held)
         assert got == {"a": 120, "b": 30}
@@ -169,18 +170,18 @@
 
 def test_nodes_of_a_large_fleet_keep_to_few_servers_each_and_every_server_has_enough_nodes() -> None:
     """In a large fleet a node that used all 60 servers sent to each only every 2.5 s and learned none in time."""
-    members = [Member(f"s{i}", "abc"[i % 3], i % 8) for i in range(60)]
+    members = [SubsetMember(f"s{i}", "abc"[i % 3], i % 8) for i in range(60)]
     fleet = [Subset(SubsetSettings(200, i, 40, reach=20, overlap=8)) for i in range(40)]
     for subset in fleet:
         subset.update(members, 0)
-        assert len(subset.held) == 20 and abs(subset.cover() - 1 / 3) < 1e-9
+        assert len(subset.held) == 20 and abs(subset.coverage() - 1 / 3) < 1e-9
         assert {"abc"[int(id[1:]) % 3] for id in subset.held} == set("abc")
     nodes = [sum(m.id in subset.held for subset in fleet) for m in members]
     assert 11 <= min(nodes) <= max(nodes) <= 16, nodes
 
 
 def test_few_nodes_or_few_servers_keep_to_all() -> None:
-    members = [Member(f"s{i}") for i in range(60)]
+    members = [SubsetMember(f"s{i}") for i in range(60)]
     for nodes, count, kept in ((23, 60, 60), (24, 60, 20), (40, 20, 20), (40, 19, 19), (2, 60, 60)):
         subset = Subset(SubsetSettings(200, 0, nodes, reach=20, overlap=8))
         subset.update(members[:count], 0)
@@ -193,8 +194,8 @@
 def test_nodes_turn_to_new_servers_in_different_orders_and_soon() -> None:
     """When a zone recovered, all nodes with overlapping windows added the same server first."""
     fleet = [Subset(SubsetSettings(200, i, 40, reach=20, swap_us=S // 4)) for i in range(40)]
-    old = [Member(f"s{i}") for i in range(32)]
-    new = [Member(f"n{i}") for i in range(28)]
+    old = [SubsetMember(f"s{i}") for i in range(32)]
+    new = [SubsetMember(f"n{i}") for i in range(28)]
     first = []
     for subset in fleet:
         subset.update(old, 0)
--- a/tests/model/test_compare.py
+++ b/tests/model/test_compare.py
@@ -16,7 +16,7 @@
 from headspar.model.compare import Comparing, Comparison
 from headspar.model.results import Store
 from headspar.model.statistics import Word
-from headspar.model.versions import HERE, VersionError, resolve
+from headspar.model.versions import HERE, RENAMED_MODULES, Finder, VersionError, resolve
 from headspar.world.scenario import Scenario, parse
 from tests.model import changed
 
@@ -134,6 +134,37 @@
     assert resolve("HEAD", tmp_path) == found
 
 
+@pytest.mark.parametrize(("now", "earlier"), RENAMED_MODULES.items())
+def test_a_renamed_module_comes_from_the_versions_own_tree(now: str, earlier: str, tmp_path: Path) -> None:
+    """A version that has the file under its earlier name would otherwise run this tree's code without a word."""
+    def file(root: Path, module: str) -> Path:
+        return root.joinpath(*module.split(".")).with_suffix(".py")
+
+    def found() -> str | None:
+        spec = Finder(tmp_path).find_spec(now, None)
+        assert spec is not None and spec.name == now
+        return spec.origin
+
+    shutil.copytree(HERE / "headspar", tmp_path / "headspar", ignore=shutil.ignore_patterns("__pycache__"))
+    assert found() == str(file(tmp_path, now))
+    file(tmp_path, now).rename(file(tmp_path, earlier))
+    assert found() == str(file(tmp_path, earlier))
+    file(tmp_path, earlier).unlink()
+    assert found() == str(file(HERE, now))
+
+
+def test_a_version_with_the_earlier_file_name_is_run(calm: Scenario, tmp_path: Path) -> None:
+    """A version is compared to this one while its module still has the earlier name: its own code runs."""
+    tree = tmp_path / "tree"
+    shutil.copytree(HERE / "headspar", tree / "headspar", ignore=shutil.ignore_patterns("__pycache__"))
+    node = tree / "headspar" / "node"
+    (node / "backend_subset.py").rename(node / "reach.py")
+    assert compared(".", str(tree), calm, tmp_path, looks=(2,)).same
+    (node / "reach.py").write_text("raise RuntimeError('the earlier file')\n")
+    crashed = compared(".", str(tree), calm, tmp_path, looks=(2,))
+    assert len(crashed.bad) == 2 and all("RuntimeError: the earlier file" in run.text for run in crashed.bad)
+
+
 def test_the_command_line(tmp_path: Path) -> None:
     file = tmp_path / "s.toml"
     file.write_text(CALM)
--- a/tests/node/test_checks_at_the_write.py
+++ b/tests/node/test_checks_at_the_write.py
@@ -160,7 +160,7 @@
     one, and a late connection would release all of them at once."""
     async def scenario() -> None:
         async with waiting(monkeypatch) as (c, made, clock, delayed):
-            c.backends.place("s", c.backends.hosts["s"].address, clock.now)
+            c.backends.add_or_update("s", c.backends.hosts["s"].address, clock.now)
             c.backends.plan.warmth("s", 1.0)  # lets more attempts wait
             spread = c.settings.fall_us // 10
             waits = []
@@ -193,7 +193,7 @@
 
         server = await asyncio.get_running_loop().create_server(NonReader, *free_address())
         async with core() as c:
-            c.backends.place("s", server.sockets[0].getsockname(), 0)
+            c.backends.add_or_update("s", server.sockets[0].getsockname(), 0)
             body = bytes(16_000_000)
             one = attempt(c, Clock(), body=[body], deadline=now_us() + 9 * S, start_by=now_us() + S // 10)
             await until(lambda: one.ended)
@@ -244,7 +244,7 @@
 
     event = BackendList(ListKind.FULL, 2, [entry(1, Health.DRAINING)])
     reach = SimpleNamespace(told=lambda e, now: (e, []), draining={"10.0.0.1:80": 5})
-    side = SimpleNamespace(draining={}, let_go=lambda ids: None)
+    side = SimpleNamespace(draining={}, close_unreachable=lambda ids: None)
     node = SimpleNamespace(reach=reach, backends=side, post=lambda e: None)
     core.Node.on_list(cast(Any, node), event)
     assert side.draining is reach.draining
--- a/tests/node/test_client_crossings.py
+++ b/tests/node/test_client_crossings.py
@@ -157,9 +157,9 @@
             s.node.loop.run()
         assert not transport.paused
         client.data_received(transport.here.recv(4096))
-        assert client.queue[-1].came == 1_000_000  # type: ignore[union-attr]
+        assert client.queue[-1].arrived_at == 1_000_000  # type: ignore[union-attr]
         client.data_received(request("new"))
-        assert client.queue[-1].came == now  # type: ignore[union-attr]
+        assert client.queue[-1].arrived_at == now  # type: ignore[union-attr]
 
 
 def test_nothing_that_lay_unread_leaves_no_trace_on_what_comes_later(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -171,7 +171,7 @@
             s.node.loop.run()
         s.node.now = 5_000_000
         client.data_received(request("new"))
-        assert client.queue[-1].came == 5_000_000  # type: ignore[union-attr]
+        assert client.queue[-1].arrived_at == 5_000_000  # type: ignore[union-attr]
 
 
 # ---------------------------------------------------------------- streamed answers
--- a/tests/node/test_discovery_crossings.py
+++ b/tests/node/test_discovery_crossings.py
@@ -73,7 +73,7 @@
         self.removed: list[str] = []
         node = SimpleNamespace(settings=settings(**changes), loop=self.loop, ledger=Ledger(),
                                on_list=self.lists.append, log=self.log.append)
-        backends = SimpleNamespace(hosts={}, remove=self.removed.append, place=self._place)
+        backends = SimpleNamespace(hosts={}, remove=self.removed.append, add_or_update=self._place)
         self.hosts = backends.hosts
         self.discovery = Discovery(cast(Node, node), cast(Backends, backends), A)
         self.discovery.start({"generation": 5, "instances": [row("s-1"), row("s-2")]})
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -36,8 +36,8 @@
     client = RecordingClient()
     r = core.Request(cast(Any, client))
     r.cls, r.budget_us = "look", 1_000_000
-    r.came = node.arrival_time()
-    r.deadline = r.came + r.budget_us
+    r.arrived_at = node.arrival_time()
+    r.deadline = r.arrived_at + r.budget_us
     node.arrived(r)
     return r, client
 
@@ -74,11 +74,11 @@
     """Both the budget sent to the backend and the deadline count from the request's last byte."""
     client, loop = RecordingClient(), cast(Any, node.loop)
     r = core.Request(cast(Any, client))
-    r.cls, r.budget_us, r.came = "look", 1_000_000, node.arrival_time()
-    r.deadline = r.came + r.budget_us
+    r.cls, r.budget_us, r.arrived_at = "look", 1_000_000, node.arrival_time()
+    r.deadline = r.arrived_at + r.budget_us
     loop.run(loop.now + 700_000)
     node.arrived(r)
-    assert r.deadline == r.came + r.budget_us and not client.answers
+    assert r.deadline == r.arrived_at + r.budget_us and not client.answers
     loop.run(loop.now + 301_000)
     assert client.answers == [(504, 0)]
 
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -26,7 +26,7 @@
     SettingsChanged,
     Tenant,
 )
-from headspar.node.intake import GRACE_US, Intake
+from headspar.node.request_validation import GRACE_US, Intake
 from headspar.operations.reload import missing, shape
 from tests.helpers import LOOK, PAY, full, settings
 from tests.loopback import PATIENCE, Node, answer, reset, running, wait_for
--- a/tests/rollout/test_hard_cases.py
+++ b/tests/rollout/test_hard_cases.py
@@ -114,7 +114,7 @@
 def test_a_change_whose_record_is_lost_is_taken_over_by_the_next(tmp_path: Path, lost: str) -> None:
     async def script(run: KeptRun) -> None:
         folder = run.generation("new", new_line)
-        other = run.generation("other", planted("reasons.py", '200: "OK"', '200: "Okay"'))
+        other = run.generation("other", planted("reason_phrases.py", '200: "OK"', '200: "Okay"'))
         path = run.dir / "record.db"
         led = await start(run, folder, "c1")
         await until(lambda: state(run) is State.STAGE)
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -202,8 +202,8 @@
 DIES = planted("process.py", "        self._sweep()\n        self._maintain()\n        if self.snapshots",
                "        self.loop.call_later(3.0, os._exit, 1)\n        self._sweep()\n        self._maintain()\n"
                "        if self.snapshots")
-MUTE = planted("process.py", "        await self._listen()\n        node.standstill",
-               "        self.socket.listen(64)\n        node.standstill")
+MUTE = planted("process.py", "        await self._listen()\n        node.pause_detector",
+               "        self.socket.listen(64)\n        node.pause_detector")
 DEAF_TO_TERM = planted("process.py", "loop.add_signal_handler(signal.SIGTERM, self.stopping.set)",
                        "loop.add_signal_handler(signal.SIGTERM, lambda: None)")
 SPEAKS_OTHERWISE = planted("handover/messages.py", "VERSION = 1", "VERSION = 9")
--- a/tests/snapshot/test_ages.py
+++ b/tests/snapshot/test_ages.py
@@ -202,6 +202,6 @@
         m.balancer = Balancer(module_settings(), seed)
         m.handle(full(6))
         m.handle(Recalled(take(HEADER, beliefs, here()).beliefs.experience, soon=False))
-        assert m.balancer.membership.ask_at is not None
-        asked.append(m.balancer.membership.ask_at - m.now)
+        assert m.balancer.membership.watch_at is not None
+        asked.append(m.balancer.membership.watch_at - m.now)
     assert max(asked) > 2_000_000 and sum(at < 500_000 for at in asked) < 10
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
     AVOID_US,
     INTERVAL_US,
     KNOWN_ANSWERS,
+    OUT_MAX_BACKENDS,
     OUT_MESSAGE_SHARE,
-    OUT_MOST,
     OUT_REPORT_US,
     WATCH_RETRY_US,
     Backend,
@@ -353,7 +353,7 @@
     assert pool(late) < everyone
     late.handle(3_000_000 + AVOID_US + INTERVAL_US, [TimerFired(1)])
     assert pool(late) == everyone
-    assert not late.peers.spared and not late.peers.first_reporter
+    assert not late.peers.avoided_until and not late.peers.first_reporter
 
 
 def test_what_is_out_is_told_for_a_while_in_messages_of_a_bounded_size_and_cost() -> None:
@@ -361,8 +361,8 @@
     reports = deliver_list(node, 1_000_000, 2, *(replace(entry(i), health=Health.GONE) for i in range(40)))
     reports += tick_messages(node, 1_000_001, 1_000_000 + OUT_REPORT_US)
     named = {data[i:i + 2] for data in reports for i in range(3, len(data), 2)}
-    assert all(len(data) <= 3 + 2 * OUT_MOST for data in reports if len(data) > 1)
-    assert len(named) > OUT_MOST, "not always the same ones"
+    assert all(len(data) <= 3 + 2 * OUT_MAX_BACKENDS for data in reports if len(data) > 1)
+    assert len(named) > OUT_MAX_BACKENDS, "not always the same ones"
     # The rate of an idle node counts as one request per second: 2 peers, 43 bytes, 0.3 messages per request.
     expected = OUT_REPORT_US / 1e6 * OUT_MESSAGE_SHARE * 256 / (2 * 43)
     assert 0.5 * expected < len([data for data in reports if len(data) > 1]) < 1.4 * expected
@@ -390,13 +390,13 @@
     pauses = []
     for now in range(0, 80_000_000, 4_000_000):
         m.apply(BackendList(ListKind.FAILED, 1, []), now)
-        assert m.ask_at is not None
-        pauses.append(m.ask_at - now)
+        assert m.watch_at is not None
+        pauses.append(m.watch_at - now)
     assert pauses[0] < max(pauses) <= 1.5 * WATCH_RETRY_US[1] <= 6_000_000 / 2, "two calls in the notice time"
     assert len(set(pauses)) == len(pauses), "jitter keeps nodes out of step"
     m.apply(BackendList(ListKind.DELTA, 2, []), 90_000_000)
     m.apply(BackendList(ListKind.FAILED, 2, []), 90_000_000)
-    assert m.ask_at is not None and m.ask_at - 90_000_000 <= 1.5 * 2 * WATCH_RETRY_US[0]
+    assert m.watch_at is not None and m.watch_at - 90_000_000 <= 1.5 * 2 * WATCH_RETRY_US[0]
 
 
 def test_a_word_of_another_form_than_nodes_write_moves_nothing() -> None:
@@ -407,11 +407,11 @@
     valid = out_report(one, 1_000_000, 2, drained(3))
     for data in (
         known[0] + b"\x07\x01", known[0] + b"\x07" + known[1], b"\0\x02\0", b"\0\x02\0" + known[3] + b"\x01", b"\x01",
-        known[0] + b"\x07\0", b"\0\x02\0" + known[3] * (OUT_MOST + 1), valid + b"\x01",
+        known[0] + b"\x07\0", b"\0\x02\0" + known[3] * (OUT_MAX_BACKENDS + 1), valid + b"\x01",
     ):
         for peer in (0, 1):
             late.handle(1_000_000, [PeerMessage(peer, data)])
-        assert not late.peers.heard and not late.peers.spared and not late.peers.first_reporter, data
+        assert not late.peers.reports and not late.peers.avoided_until and not late.peers.first_reporter, data
         assert all(b.peers == 0 for b in late.membership.backends.values())
     late.handle(1_000_000, [PeerMessage(0, valid), PeerMessage(1, out_report(two, 1_000_000, 2, drained(3)))])
-    assert late.peers.spared
+    assert late.peers.avoided_until
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -219,10 +219,10 @@
     s = settings()
     m = Membership(s, random.Random(1))
     m.start(0)
-    assert m.ask_at is not None and 0 <= m.ask_at <= s.ask_every_us
+    assert m.watch_at is not None and 0 <= m.watch_at <= s.ask_every_us
     m = Membership(settings(must_subscribe=False), random.Random(1))
     m.start(0)
-    assert m.ask_at is None
+    assert m.watch_at is None
 
 
 def test_no_subscription_where_changes_come_by_themselves() -> None:
--- a/tests/test_standstill.py
+++ b/tests/test_process_pause.py
@@ -12,7 +12,7 @@
 
 from headspar.interface import ClientGone
 from headspar.node import core
-from headspar.node.standstill import BACKLOG_US, MIN_PAUSE_US, PauseDetector
+from headspar.node.pause_detector import BACKLOG_US, MIN_PAUSE_US, PauseDetector
 from tests.helpers import full, settings
 from tests.loopback import Client, running, wait_for
 
@@ -23,7 +23,7 @@
     s = PauseDetector(0)
     for now in range(0, 5_000_000, 200_000):
         assert not s.detect(now)
-        s.beats(now)
+        s.heartbeat(now)
     resumed = 4_800_000 + 7_000_000
     assert s.detect(resumed) and not s.detect(resumed + 1)
     # may have arrived at any time in the pause
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -15,7 +15,7 @@
 from headspar.decide import Balancer
 from headspar.interface import BackendList, Event, Health, ListKind, RequestArrived, Send
 from headspar.node import core
-from headspar.node.reach import Reach
+from headspar.node.backend_subset import Reach
 from headspar.world.scenario import parse
 from tests.helpers import entry, full, settings
 from tests.lab.test_nodes_under_faults import judged
@@ -160,9 +160,9 @@
     node.reach.told(BackendList(ListKind.DELTA, 2, [entry(0, Health.DRAINING)]), 2 * S)
     for at, expected in ((2 * S, 0), (3 * S, 0), (3 * S + 1, 1), (9 * S, 2)):
         clock[0] = at
-        node.standstill.beats(at)
+        node.pause_detector.heartbeat(at)
         r = core.Request(cast(Any, None))
-        r.cls, r.came, r.deadline = "look", at, at + S
+        r.cls, r.arrived_at, r.deadline = "look", at, at + S
         node.arrived(r)
         node._send(Send(r.key, entry(0).backend), at)
         node._send(Send(r.key, entry(1).backend), at)
--- a/tests/versions/readers.py
+++ b/tests/versions/readers.py
@@ -48,11 +48,13 @@
     balancer = module()
     balancer.handle(NOW, [PeerMessage(0, data)])
     assert sum(x.peers for x in balancer.membership.backends.values()) > 0
-    if not hasattr(balancer.peers, "spared"):
+    names = ("avoided_until", "spared")
+    if not any(hasattr(balancer.peers, name) for name in names):
         return  # a version that knew of no drains in it
-    assert not balancer.peers.spared
+    assert not forms.first_of(balancer.peers, *names)
     balancer.handle(NOW, [PeerMessage(1, data)])
-    assert len(balancer.peers.spared) == 1 and len(balancer.picker.pool) == 3  # two newer lists call it out
+    # Two newer lists call it out.
+    assert len(forms.first_of(balancer.peers, *names)) == 1 and len(balancer.picker.pool) == 3
 
 
 def read_beliefs(text: str) -> None:
--- a/tests/versions/test_samples.py
+++ b/tests/versions/test_samples.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from headspar.decide import OUT_MOST, Balancer
+from headspar.decide import OUT_MAX_BACKENDS, Balancer
 from headspar.handover import beliefs as b
 from headspar.handover import messages as h
 from headspar.interface import PeerMessage, Recalled, RequestArrived, Send
@@ -90,7 +90,7 @@
     for peer in (0, 1, 0) if again else (0,):
         balancer.handle(NOW, [PeerMessage(peer, data)])
     backends = list(balancer.membership.backends.values())
-    assert len(balancer.picker.pool) == len(backends) - len(balancer.peers.spared)
+    assert len(balancer.picker.pool) == len(backends) - len(balancer.peers.avoided_until)
     assert all(0 <= x.peers <= 2 * 255 * 4096 * 85 for x in backends)
     assert len(steady(balancer)) >= 30 or not balancer.picker.pool
 
@@ -102,12 +102,12 @@
     known = [x.tag.to_bytes(2, "big") for x in balancer.membership.backends.values()]
     data = b"".join(known[i % 4] + b"\x07" for i in range(triples)) + version.to_bytes(2, "big") + b"\0"
     data += b"".join(known[i % 4] for i in range(tags)) + b"\x01" * odd
-    if 0 < tags <= OUT_MOST and not odd:
+    if 0 < tags <= OUT_MAX_BACKENDS and not odd:
         return  # that is the present form
     before = steady(module())
     for peer in (0, 1):
         balancer.handle(NOW, [PeerMessage(peer, data[:256])] if len(data) <= 256 else [])
-    assert not balancer.peers.spared and not balancer.peers.heard and steady(balancer) == before
+    assert not balancer.peers.avoided_until and not balancer.peers.reports and steady(balancer) == before
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
