--- a/tests/connections/test_hard_cases.py
+++ b/tests/connections/test_hard_cases.py
@@ -11,7 +11,19 @@
 
 import pytest
 
-from tests.loopback import Answer, Backend, Client, Discovery, Node, answer, deaf, reset, row, running, wait_for
+from tests.loopback import (
+    Answer,
+    Backend,
+    Client,
+    Discovery,
+    Node,
+    answer,
+    reset,
+    row,
+    running,
+    unresponsive_address,
+    wait_for,
+)
 
 ANSWERED_S = 8.0  # an attempt that takes longer was not ended in time, but hung until its deadline of 10 s
 WAITERS = 20
@@ -52,7 +64,7 @@
 
 def test_attempts_that_wait_for_a_connection_that_never_comes_up_are_told_in_time_to_go_elsewhere() -> None:
     good = Backend(None, "s-2")
-    with deaf() as black_hole, running_node([row("s-1", black_hole), good.row()], [good]) as node:
+    with unresponsive_address() as black_hole, running_node([row("s-1", black_hole), good.row()], [good]) as node:
         for _ in range(3):  # a non-repeatable class: an attempt that may have run is not sent elsewhere
             answers = Batch(node, "crew", WAITERS).wait()
             assert all(got.status in (200, 503) for got, _ in answers)
@@ -62,7 +74,7 @@
 
 
 def test_with_no_other_server_each_that_waited_is_refused_and_none_hangs_on() -> None:
-    with deaf() as black_hole, running_node([row("s-1", black_hole)], []) as node:
+    with unresponsive_address() as black_hole, running_node([row("s-1", black_hole)], []) as node:
         answers = Batch(node, "crew", WAITERS).wait()
         assert {got.status for got, _ in answers} == {503}
         assert max(took for _, took in answers) < ANSWERED_S
@@ -70,11 +82,12 @@
 
 def test_the_same_id_at_a_new_address_serves_those_who_waited_for_the_old_one() -> None:
     good = Backend(None, "s-1")
-    with deaf() as black_hole, running_node([row("s-1", black_hole)], [good], connect_timeout_us=9_000_000) as node:
+    with (unresponsive_address() as black_hole,
+          running_node([row("s-1", black_hole)], [good], connect_timeout_us=9_000_000) as node):
         batch = Batch(node, "crew", 5)
         time.sleep(0.3)  # they wait for the old address, where a connect fails only after nine seconds
         wait_for(lambda: node.discovery.calls)
-        node.discovery.tell([good.row()])
+        node.discovery.publish([good.row()])
         answers = batch.wait()
         assert {got.status for got, _ in answers} == {200}
         assert max(took for _, took in answers) < ANSWERED_S
@@ -87,7 +100,7 @@
         assert client.ask("look").status == 200
         backend = node.backends[0]
         wait_for(lambda: node.discovery.calls)
-        node.discovery.tell([backend.row(startedAtMs=int(time.time() * 1000))])
+        node.discovery.publish([backend.row(startedAtMs=int(time.time() * 1000))])
         wait_for(lambda: backend.ended)  # the old connection is closed
         for _ in range(20):
             if client.ask("look").status == 200:
@@ -98,7 +111,7 @@
 
 def test_at_sigterm_what_waits_for_connections_is_still_answered() -> None:
     good = Backend(None, "s-2")
-    with (deaf() as black_hole,
+    with (unresponsive_address() as black_hole,
           running_node([row("s-1", black_hole), good.row()], [good], connect_timeout_us=800_000) as node):
         batch = Batch(node, "crew", WAITERS)
         time.sleep(0.2)
--- a/tests/connections/test_socket_side.py
+++ b/tests/connections/test_socket_side.py
@@ -19,7 +19,7 @@
 from headspar.operations.ledger import Ledger
 from headspar.operator_file import Connections
 from tests.helpers import settings
-from tests.loopback import deaf, free_address
+from tests.loopback import free_address, unresponsive_address
 
 S = 1_000_000
 MAKING, WAITING = Connections().making, Connections().waiting
@@ -188,7 +188,7 @@
     monkeypatch.setattr(backends, "now_us", lambda: start)
 
     async def scenario() -> None:
-        with deaf() as address:
+        with unresponsive_address() as address:
             async with core(connect_timeout_us=200_000) as c:
                 c.backends.add_or_update("s", address, 0)
                 attempts = [c.attempt() for _ in range(2 * MAKING + WAITING + 10)]
@@ -256,7 +256,7 @@
 @pytest.mark.parametrize("again", [True, False])
 def test_attempts_that_wait_for_a_server_that_is_gone_or_moved_may_go_elsewhere_at_once(again: bool) -> None:
     async def scenario() -> None:
-        with deaf() as address:
+        with unresponsive_address() as address:
             async with core(connect_timeout_us=9 * S) as c:
                 c.backends.add_or_update("s", address, 0)
                 attempts = [c.attempt() for _ in range(3)]
--- a/tests/handover/test_beliefs.py
+++ b/tests/handover/test_beliefs.py
@@ -193,7 +193,7 @@
 def test_the_successor_has_the_list_that_was_told_last() -> None:
     with running(None, None, ops=True) as node:
         wait_for(lambda: node.discovery.calls)
-        node.discovery.tell([node.backends[0].row(lifecycle="draining", startedAtMs=1_700_000_000_000)])
+        node.discovery.publish([node.backends[0].row(lifecycle="draining", startedAtMs=1_700_000_000_000)])
         wait_for(lambda: node.call("/stats")[1]["targets_disabled"] == 1)
         node.discovery.silent = True
         first = node.second()
--- a/tests/handover/test_upgrades.py
+++ b/tests/handover/test_upgrades.py
@@ -18,7 +18,7 @@
 
 from headspar.handover import unix_socket
 from headspar.handover.messages import Hello, Offer, Ready
-from tests.loopback import PATIENCE, Node, answer, running, wait_for
+from tests.loopback import TIMEOUT_S, Node, answer, running, wait_for
 
 
 class Load:
@@ -50,7 +50,7 @@
     def stop(self) -> None:
         self.stopping = True
         for thread in self.threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
 
 
 @pytest.fixture
@@ -84,7 +84,7 @@
         for _ in range(5):
             peak = max(peak[0], files_of(first, node.process)), max(peak[1], mb_of(first, node.process))
         first.send_signal(signal.SIGTERM)
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
         wait_for(partial(lambda seen: len(load.statuses) > seen + 50, asked))
     load.stop()
     assert 60 < peak[0] < 1024 and 20 < peak[1] < 192
@@ -103,7 +103,7 @@
         while time.monotonic() < end:
             peak = max(peak, files_of(first, node.process))
         first.send_signal(signal.SIGTERM)
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
         load.stop()
         assert load.closed == [] and 120 < peak <= 256
 
@@ -113,7 +113,7 @@
 
     def script(sock: socket.socket, n: int) -> None:
         if n == 1:
-            hold.wait(PATIENCE)
+            hold.wait(TIMEOUT_S)
         sock.sendall(answer(200, b"%d" % n))
 
     with running(script, ops=True) as node, node.client() as client:
@@ -125,7 +125,7 @@
         assert first.poll() is None
         hold.set()
         assert [client.read().body for _ in range(2)] == [b"1", b"2"]
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
         assert client.ask().status == 200  # by the new process, on the same connection
 
 
@@ -133,7 +133,7 @@
     hold = threading.Event()
 
     def script(sock: socket.socket, n: int) -> None:
-        hold.wait(PATIENCE)
+        hold.wait(TIMEOUT_S)
         sock.sendall(answer())
 
     for backend in node.backends:
@@ -164,7 +164,7 @@
     assert node.call("/healthcheck") == (503, {"state": "handing over"})
     assert node.call("/healthcheck/fail", "POST")[0] == 200 and node.call("/healthcheck/ok", "POST")[0] == 409
     first.send_signal(signal.SIGTERM)
-    assert first.wait(PATIENCE) == 0
+    assert first.wait(TIMEOUT_S) == 0
     with node.client() as client:
         assert client.ask("look", X_Call_Class="new").status == 200
 
@@ -174,7 +174,7 @@
 
     def script(sock: socket.socket, n: int) -> None:
         if n == 1:
-            hold.wait(PATIENCE)
+            hold.wait(TIMEOUT_S)
         sock.sendall(answer())
 
     with running(script, script, ops=True) as node, node.client() as client:
@@ -185,10 +185,10 @@
         second = node.second()
         assert first.poll() is None
         second.send_signal(signal.SIGTERM)
-        assert second.wait(PATIENCE) == 0
+        assert second.wait(TIMEOUT_S) == 0
         hold.set()
         assert client.read().status == 200
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
         assert client.ended() or client.ask().status == 200
         with node.client() as new:
             assert new.ask().status == 200
@@ -196,7 +196,7 @@
 
 def stub_with_offer(node: Node) -> socket.socket:
     """A stub of a new process that has received the offer."""
-    link = unix_socket.connect(place(node), PATIENCE)
+    link = unix_socket.connect(place(node), TIMEOUT_S)
     unix_socket.send(link, Hello("n0"))
     got = unix_socket.receive(link)
     assert got is not None and isinstance(got[0], Offer)
@@ -240,11 +240,11 @@
         # epoll keeps descriptors of the last call at the head of its ready list until the next call.  This answer
         # shows that the next call was made, so the link is reported after the clients that send from now on.
         assert clients[0].ask().status == 200
-        with node.stopped():
+        with node.paused():
             for client in clients:
                 client.send(client.head())
             for client in clients:
-                client.arrived()
+                client.wait_delivered()
             unix_socket.send(link, Ready())
         assert [client.read().status for client in clients] == [200] * 40
         link.close()
@@ -252,11 +252,11 @@
 
 @pytest.mark.parametrize("packet", [b"what", b'{"v":9,"say":"hello","name":"n0"}', b'{"v":1,"say":"ready"}'])
 def test_a_stranger_at_the_meeting_place_is_cut_off(node: Node, packet: bytes) -> None:
-    link = unix_socket.connect(place(node), PATIENCE)
+    link = unix_socket.connect(place(node), TIMEOUT_S)
     link.send(packet)
     assert link.recv(100) == b""
     link.close()
-    silent = unix_socket.connect(place(node), PATIENCE)  # sends nothing: closed after a second
+    silent = unix_socket.connect(place(node), TIMEOUT_S)  # sends nothing: closed after a second
     assert silent.recv(100) == b""
     silent.close()
     node.upgrade()
@@ -278,7 +278,7 @@
         link, _ = sock.accept()
         link.recv(4096)
         if behaviour == "silent":
-            stopping.wait(PATIENCE)
+            stopping.wait(TIMEOUT_S)
         elif behaviour == "newer":
             link.send(b'{"v":2,"say":"offer"}')
         elif behaviour == "no sockets":
@@ -292,7 +292,7 @@
     node.log.write_text("")
     node.start()
     stopping.set()
-    thread.join(PATIENCE)
+    thread.join(TIMEOUT_S)
     sock.close()
     lines = [text for text in node.log.read_text().splitlines() if text.startswith("hand-over")]
     assert len(lines) == 1 and "starting alone" in lines[0] and line in lines[0]
@@ -330,7 +330,7 @@
         path = unix_socket.socket_path({"TMPDIR": str(long)}, ("127.0.0.1", 80))
         assert path is not None
         sock = unix_socket.bind(path)  # longer than the 108 bytes of a socket address
-        unix_socket.connect(path, PATIENCE).close()
+        unix_socket.connect(path, TIMEOUT_S).close()
         sock.close()
         path.unlink()
     finally:
@@ -338,11 +338,11 @@
 
 
 def test_sigterm_alone_answers_what_runs_longer_than_the_end() -> None:
-    with running(lambda sock, n: time.sleep(PATIENCE), ops=True) as node, node.client() as client:
+    with running(lambda sock, n: time.sleep(TIMEOUT_S), ops=True) as node, node.client() as client:
         client.send(client.head("crew", budget="20000m"))
         wait_for(lambda: node.call("/stats")[1]["concurrent"] == 1)
         node.process.send_signal(signal.SIGTERM)
         assert client.read().status == 504
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
--- a/tests/keeper/test_parts.py
+++ b/tests/keeper/test_parts.py
@@ -24,7 +24,7 @@
 from headspar.keeper.processes import Handle
 from headspar.keeper.slots import Clock, Slot, deal
 from headspar.keeper.state import ProcessRecord, Saved, StateError, StateFile, decode, encode
-from tests.loopback import PATIENCE
+from tests.loopback import TIMEOUT_S
 
 
 def test_a_step_counts_once_and_an_epoch_that_is_over_not_at_all() -> None:
@@ -177,7 +177,7 @@
             "from headspar.keeper.state import StateFile\n"
             f"f = StateFile(Path({str(tmp_path)!r})); s = f.read(); s.fence.epoch = 4; f.write(s)")
     env = {**os.environ, failpoints.VARIABLE: f"{point}=kill"}
-    done = subprocess.run([sys.executable, "-c", code], env=env, timeout=PATIENCE)
+    done = subprocess.run([sys.executable, "-c", code], env=env, timeout=TIMEOUT_S)
     assert done.returncode == -signal.SIGKILL
     file = StateFile(tmp_path)
     assert file.read().fence.epoch == (4 if point == "keeper.state_written" else 3) and file.read_fence() == (4, 7)
@@ -223,7 +223,7 @@
         assert isinstance(handle, Handle)
         assert child.poll() is None
         handle.signal(signal.SIGKILL)
-        assert child.wait(PATIENCE) == -signal.SIGKILL
+        assert child.wait(TIMEOUT_S) == -signal.SIGKILL
         handle.signal(signal.SIGKILL)  # the process is gone: the signal has no effect
         handle.close()
         assert isinstance(Handle.find(child.pid, started, boot_id()), str)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 15.0  # seconds; far longer than any expected event takes, because machines are busy
+TIMEOUT_S = 15.0  # far longer than any expected event takes, because machines are busy
 
 
 def settings(**limits: Any) -> dict[str, Any]:
@@ -60,7 +60,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def wait_for(what: Callable[[], Any], seconds: float = PATIENCE) -> Any:
+def wait_for(what: Callable[[], Any], seconds: float = TIMEOUT_S) -> Any:
     """Poll until ``what()`` is true and return its value; fail after ``seconds``."""
     end = time.monotonic() + seconds
     while True:
@@ -145,7 +145,7 @@
 
 
 @contextlib.contextmanager
-def deaf() -> Iterator[tuple[str, int]]:
+def unresponsive_address() -> Iterator[tuple[str, int]]:
     """An address at which connections never complete, because its accept queue is full."""
     sock = socket.socket()
     sock.bind(free_address())
@@ -215,7 +215,7 @@
         self.changed = threading.Condition()
         super().__init__()
 
-    def tell(self, rows: list[dict[str, Any]], full: bool = False) -> None:
+    def publish(self, rows: list[dict[str, Any]], full: bool = False) -> None:
         with self.changed:
             self.changes, self.full = rows, full
             self.generation += 1
@@ -295,7 +295,7 @@
 
     def health(self) -> int:
         try:
-            with socket.create_connection(self.address, PATIENCE) as sock:
+            with socket.create_connection(self.address, TIMEOUT_S) as sock:
                 sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
                 return int((sock.recv(4096) or b"0 0").split()[1])
         except OSError:
@@ -304,7 +304,7 @@
     def call(self, path: str, method: str = "GET") -> tuple[int, dict[str, Any]]:
         """Make an operator's call. Return the status and the answer's JSON."""
         assert self.ops is not None
-        connection = http.client.HTTPConnection(*self.ops, timeout=PATIENCE)
+        connection = http.client.HTTPConnection(*self.ops, timeout=TIMEOUT_S)
         try:
             connection.request(method, path)
             response = connection.getresponse()
@@ -336,10 +336,10 @@
         """Upgrade as the platform does it: start a second process, then end the first."""
         first = self.second()
         first.send_signal(signal.SIGTERM)
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
 
     @contextlib.contextmanager
-    def stopped(self) -> Iterator[None]:
+    def paused(self) -> Iterator[None]:
         """Pause the process; data sent meanwhile reaches it in one iteration of its loop, in the order sent."""
         self.process.send_signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.process.pid}/stat")
@@ -377,7 +377,7 @@
 
     def stop(self) -> int:
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(PATIENCE)
+        return self.process.wait(TIMEOUT_S)
 
     def close(self) -> None:
         for process in self.processes:  # includes processes of an upgrade that a failed test has left unfinished
@@ -417,7 +417,7 @@
     serial = 0
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, PATIENCE)
+        self.sock = socket.create_connection(address, TIMEOUT_S)
         self.stream = Stream(self.sock)
 
     def head(self, cls: str = "look", body: bytes = b"", budget: str = "10000m", path: str = "/api/k1",
@@ -444,7 +444,7 @@
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def arrived(self) -> None:
+    def wait_delivered(self) -> None:
         """Wait until the data sent has reached the node's socket. On a busy machine this takes a while, and data sent
         later over another socket could arrive first."""
         wait_for(lambda: fcntl.ioctl(self.sock, termios.TIOCOUTQ, bytes(4)) == bytes(4))
@@ -471,18 +471,18 @@
 
 
 class Answer:
-    """One answer, read to its end; ``whole`` is False if the connection ended within it."""
+    """One answer, read to its end; ``complete`` is False if the connection ended within it."""
 
     def __init__(self, stream: Stream) -> None:
         response = http.client.HTTPResponse(stream)  # type: ignore[arg-type]
         response.begin()
         self.status = response.status
         self.headers = response.headers
-        self.whole = True
+        self.complete = True
         try:
             self.body = response.read()
         except (http.client.IncompleteRead, ConnectionResetError):
-            self.whole, self.body = False, b""
+            self.complete, self.body = False, b""
 
 
 @contextlib.contextmanager
--- a/tests/node/test_answer_crossings.py
+++ b/tests/node/test_answer_crossings.py
@@ -38,7 +38,7 @@
 def test_a_reset_under_a_long_answer_without_length_is_seen_by_its_client(pause: float) -> None:
     with running(send_and_end(NO_LENGTH + bytes(200_000), by_reset=True, pause=pause)) as node:
         got = node.client().ask("crew")
-        assert got.status in FAILED or not got.whole
+        assert got.status in FAILED or not got.complete
         assert len(node.backends[0].requests) == 1
 
 
@@ -47,7 +47,7 @@
 def test_a_close_is_its_end(size: int, pause: float) -> None:
     with running(send_and_end(NO_LENGTH + bytes(size), by_reset=False, pause=pause)) as node:
         got = node.client().ask("crew")
-        assert got.status == 200 and got.whole and len(got.body) == size
+        assert got.status == 200 and got.complete and len(got.body) == size
 
 
 def test_an_interim_answer_and_a_reset_may_have_run() -> None:
--- a/tests/node/test_client_crossings.py
+++ b/tests/node/test_client_crossings.py
@@ -344,7 +344,7 @@
     with running(None) as node:
         client = node.client()
         client.send(b"GET /api/x HTTP/1.1\r\nHost: x\r\nX-Ca")
-        client.arrived()
+        client.wait_delivered()
         began = time.monotonic()
         node.process.terminate()
         assert client.read().status == 408
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -18,7 +18,7 @@
 
 from headspar.node import core
 from headspar.process import Process, drain_accept_queue
-from tests.loopback import PATIENCE, ROOT, Backend, Discovery, answer, free_address, running, text, wait_for
+from tests.loopback import ROOT, TIMEOUT_S, Backend, Discovery, answer, free_address, running, text, wait_for
 from tests.test_due import make_node
 
 
@@ -124,7 +124,7 @@
         await asyncio.gather(*tasks)
         assert len(transports) == 3
         for client in clients:
-            client.settimeout(PATIENCE)
+            client.settimeout(TIMEOUT_S)
             assert await asyncio.to_thread(client.recv, 100) == b"taken"
             client.close()
         for transport in transports:
@@ -171,7 +171,7 @@
         statuses = [client.read().status for client in clients]
         assert set(statuses) <= {502, 504}
         assert all(client.ended() for client in clients)
-        assert node.process.wait(PATIENCE) == 0
+        assert node.process.wait(TIMEOUT_S) == 0
         assert time.monotonic() - began < 5
 
 
@@ -188,8 +188,8 @@
         node.process.send_signal(signal.SIGTERM)
         time.sleep(0.9)  # beyond the time after which idle connections are closed
         got = client.read()
-        assert got.whole and got.body == body
-        assert node.process.wait(PATIENCE) == 0
+        assert got.complete and got.body == body
+        assert node.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("written", ["", "{\"seed\": \"8c1f", "whole"])
@@ -236,7 +236,7 @@
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
--- a/tests/operations/test_calls_on_sockets.py
+++ b/tests/operations/test_calls_on_sockets.py
@@ -13,7 +13,7 @@
 import pytest
 
 from headspar.identity import NO_HANDOVER, PACKAGE, settings_digest, start_ticks, tree_digest
-from tests.loopback import PATIENCE, Node, answer, free_address, reset, running, text, wait_for
+from tests.loopback import TIMEOUT_S, Node, answer, free_address, reset, running, text, wait_for
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
 def raw(node: Node, data: bytes) -> bytes:
     """Sends ``data``; returns what is received until the node closes the connection."""
     assert node.ops is not None
-    with socket.create_connection(node.ops, PATIENCE) as sock:
+    with socket.create_connection(node.ops, TIMEOUT_S) as sock:
         sock.sendall(data)
         got = b""
         while part := sock.recv(65536):
@@ -89,7 +89,7 @@
     node.env["TMPDIR"] += "/elsewhere"
     first = node.process
     node.start(healthy=False)
-    assert node.process.wait(PATIENCE) == NO_HANDOVER
+    assert node.process.wait(TIMEOUT_S) == NO_HANDOVER
     node.process = first
     assert node.health() == 200 and "no hand-over to be had" in node.log.read_text()
 
@@ -99,7 +99,7 @@
     before = node.files()
     with contextlib.ExitStack() as stack:
         for _ in range(200):
-            sock = stack.enter_context(socket.create_connection(node.ops, PATIENCE))
+            sock = stack.enter_context(socket.create_connection(node.ops, TIMEOUT_S))
             with contextlib.suppress(OSError):
                 sock.sendall(b"GET /healthcheck HTTP/1.1\r\nHo")
         assert node.call("/healthcheck")[0] == 200
@@ -173,9 +173,9 @@
 def test_draining_backends_count_as_disabled(node: Node) -> None:
     wait_for(lambda: node.call("/stats")[1]["targets"] == 2)
     assert node.call("/stats")[1]["targets_disabled"] == 0
-    node.discovery.tell([node.backends[0].row(lifecycle="draining")])
+    node.discovery.publish([node.backends[0].row(lifecycle="draining")])
     wait_for(lambda: node.call("/stats")[1]["targets_disabled"] == 1)
-    node.discovery.tell([node.backends[0].row(lifecycle="gone")])
+    node.discovery.publish([node.backends[0].row(lifecycle="gone")])
     wait_for(lambda: (lambda s: (s["targets"], s["targets_disabled"]) == (1, 0))(node.call("/stats")[1]))
 
 
@@ -206,7 +206,7 @@
     hold = threading.Event()
 
     def script(sock: socket.socket, n: int) -> None:
-        hold.wait(PATIENCE)
+        hold.wait(TIMEOUT_S)
         sock.sendall(answer(200, b"%d" % n))
 
     with running(script, ops=True) as node, node.client() as client:
@@ -226,11 +226,11 @@
         assert client.ask().status == 200
         time.sleep(1.2)  # as long as a drain keeps idle connections
         assert node.ops is not None
-        with node.stopped():
-            operator = socket.create_connection(node.ops, PATIENCE)
+        with node.paused():
+            operator = socket.create_connection(node.ops, TIMEOUT_S)
             operator.sendall(b"POST /healthcheck/fail HTTP/1.1\r\nHost: x\r\n\r\n")
             client.send(client.head())
-            client.arrived()
+            client.wait_delivered()
         assert operator.recv(100).startswith(b"HTTP/1.1 200 ")
         operator.close()
         got = client.read()
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -29,7 +29,7 @@
 from headspar.node.request_validation import GRACE_US, Intake
 from headspar.operations.reload import missing, shape
 from tests.helpers import LOOK, PAY, full, settings
-from tests.loopback import PATIENCE, Node, answer, reset, running, wait_for
+from tests.loopback import TIMEOUT_S, Node, answer, reset, running, wait_for
 from tests.loopback import settings as raw_settings
 
 # ------------------------------------------------------------ without sockets
@@ -260,7 +260,7 @@
         wait_for(lambda: stats(node)["reload_success"] + stats(node)["reload_failure"] >= 45)
         stopping.set()
         for thread in threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
         assert len(statuses) > 500 and set(statuses) == {200}
         assert stats(node)["reload_failure"] >= 8
 
--- a/tests/rollout/test_parts.py
+++ b/tests/rollout/test_parts.py
@@ -23,7 +23,7 @@
 from headspar.rollout.record import Busy, Fenced, Record
 from headspar.rollout.stages import Candidate, plan
 from headspar.rollout.state import TABLE, Cause, Change, Command, Director, State, Ways
-from tests.loopback import PATIENCE
+from tests.loopback import TIMEOUT_S
 
 SITES = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"}
 
@@ -196,7 +196,7 @@
             "from headspar.rollout.record import Record; from headspar.rollout.state import Command\n"
             f"r = Record(Path({str(tmp_path / 'r.db')!r})); failpoints.arm(os.environ)\n"
             "r.intent(1, 'c', Command('a1', 'hold'), 1.0); failpoints.failpoint('rollout.intent')")
-    done = subprocess.run([sys.executable, "-c", code], timeout=PATIENCE,
+    done = subprocess.run([sys.executable, "-c", code], timeout=TIMEOUT_S,
                           env={**os.environ, failpoints.VARIABLE: f"{point}=kill"})
     assert done.returncode == -signal.SIGKILL
     assert len(Record(tmp_path / "r.db").steps("c")) == left
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.loopback import Script, answer, deaf, reset, row, running, wait_for
+from tests.loopback import Script, answer, reset, row, running, unresponsive_address, wait_for
 
 REFUSED, FAILED = (429, 503), (500, 502, 504)
 
@@ -80,8 +80,8 @@
 
 
 def test_a_connection_that_never_comes_up_is_given_up_in_the_settings_time() -> None:
-    with deaf() as address, running(None) as node:
-        node.discovery.tell([row("s-9", address)])
+    with unresponsive_address() as address, running(None) as node:
+        node.discovery.publish([row("s-9", address)])
         client = node.client()
         wait_for(lambda: len(node.discovery.calls) > 1)
         began = time.monotonic()
@@ -202,7 +202,7 @@
 def test_a_long_answer_that_is_cut_is_seen_to_be(framing: bytes) -> None:
     with running(send_and_close(b"HTTP/1.1 200 OK\r\n" + framing + bytes(100_000))) as node:
         got = node.client().ask()
-        assert got.status == 200 and not got.whole
+        assert got.status == 200 and not got.complete
         assert len(node.backends[0].requests) == 1
 
 
@@ -210,7 +210,7 @@
     with running(lambda s, n: s.sendall(answer(200, bytes(300_000))[:200_000])) as node:
         client = node.client()
         began = time.monotonic()
-        assert not client.ask(budget="900m").whole
+        assert not client.ask(budget="900m").complete
         assert 2 < time.monotonic() - began < 10
         wait_for(lambda: node.backends[0].ended)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -101,19 +101,19 @@
         client = node.client()
         wait_for(lambda: node.discovery.calls)
         assert node.discovery.calls[0].startswith("/v1/servers?since=5&timeout_ms=")
-        node.discovery.tell([one.row(lifecycle="draining")])
+        node.discovery.publish([one.row(lifecycle="draining")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
         time.sleep(0.1)
         before = len(one.requests)
         assert all(client.ask().status == 200 for _ in range(12))
         assert len(one.requests) == before
-        node.discovery.tell([one.row(), two.row(lifecycle="draining")], full=True)
+        node.discovery.publish([one.row(), two.row(lifecycle="draining")], full=True)
         wait_for(lambda: any("since=7" in call for call in node.discovery.calls))
         time.sleep(0.1)
         before = len(two.requests)
         assert all(client.ask().status == 200 for _ in range(12))
         assert len(two.requests) == before
-        node.discovery.tell([two.row()], full=True)  # not listed: gone
+        node.discovery.publish([two.row()], full=True)  # not listed: gone
         wait_for(lambda: any("since=8" in call for call in node.discovery.calls))
         time.sleep(0.1)
         before = len(one.requests)
@@ -142,7 +142,7 @@
         assert node.client().ask().status == 200
         node.discovery.raw = None
         one = node.backends[0]
-        node.discovery.tell([one.row(instanceId="s-2"), one.row(lifecycle="draining")])
+        node.discovery.publish([one.row(instanceId="s-2"), one.row(lifecycle="draining")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
         assert node.client().ask().status == 200
 
@@ -156,7 +156,7 @@
             one.row(instanceId="v", startedAtMs="x"),
         ]
         wait_for(lambda: node.discovery.calls)
-        node.discovery.tell([*bad, one.row(lifecycle="draining"), one.row(instanceId="s-2")])
+        node.discovery.publish([*bad, one.row(lifecycle="draining"), one.row(instanceId="s-2")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
         assert node.client().ask().status == 200
         assert node.log.read_text().count("entry skipped") == len(bad)
@@ -177,7 +177,7 @@
         wait_for(lambda: len(node.discovery.calls) > 2)
         node.discovery.unresponsive = node.discovery.open[:]
         one = node.backends[0]
-        node.discovery.tell([one.row(lifecycle="draining")])
+        node.discovery.publish([one.row(lifecycle="draining")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls), 6)
         assert "retrying on a new connection" in node.log.read_text()
         time.sleep(0.1)
@@ -195,7 +195,7 @@
         wait_for(lambda: node.discovery.calls)
         if changed:
             node.discovery.closes_after_answer = True
-            node.discovery.tell([one.row(lifecycle="draining")])
+            node.discovery.publish([one.row(lifecycle="draining")])
             wait_for(lambda: "Partial list 6" in node.log.read_text())
             wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
         else:
@@ -230,14 +230,14 @@
 def test_a_backend_that_moved_or_restarted_gets_new_connections() -> None:
     with running(None, None) as node:
         one, two = node.backends
-        node.discovery.tell([two.row(lifecycle="gone")])
+        node.discovery.publish([two.row(lifecycle="gone")])
         wait_for(lambda: any("since=6" in call for call in node.discovery.calls))
         client = node.client()
         assert client.ask().status == 200 and one.accepted == 1
-        node.discovery.tell([one.row(startedAtMs=1)])
+        node.discovery.publish([one.row(startedAtMs=1)])
         wait_for(lambda: one.ended == 1)
         assert client.ask().status == 200 and one.accepted == 2
-        node.discovery.tell([two.row(instanceId=one.id)])
+        node.discovery.publish([two.row(instanceId=one.id)])
         wait_for(lambda: one.ended == 2)
         before = len(two.requests)
         assert client.ask().status == 200 and len(two.requests) == before + 1
@@ -278,7 +278,7 @@
             before = len(one.requests)
             assert all(busy[0].ask().status == 200 for _ in range(12))
             assert len(one.requests) == before  # only the new discovery reports this drain
-            second.tell([one.row(), two.row(lifecycle="draining")])
+            second.publish([one.row(), two.row(lifecycle="draining")])
             wait_for(lambda: any("since=3" in call for call in second.calls))
             before = len(two.requests)
             assert all(busy[0].ask().status == 200 for _ in range(4))
@@ -430,7 +430,7 @@
             for n in rounds:
                 rows = [one.row(instanceId=f"s-{n}-{i}") for i in range(2500)]
                 for changed in (rows, [dict(row, lifecycle="gone") for row in rows]):
-                    node.discovery.tell(changed)
+                    node.discovery.publish(changed)
                     call = f"since={node.discovery.generation}&"
                     wait_for(lambda call=call: any(call in c for c in node.discovery.calls))  # type: ignore[misc]
                 assert client.ask().status == 200
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -47,13 +47,13 @@
         well = [stack.enter_context(node.client()) for _ in range(5)]
         assert all(c.ask().status == 200 for c in (*late, *well))
         sent = sum(len(b.requests) for b in node.backends)
-        with node.stopped():
+        with node.paused():
             for c in late:
                 c.send(c.head("look", budget="900m"))
             for c in well:
                 c.send(c.head("look", budget="15000m"))
             for c in (*late, *well):
-                c.arrived()
+                c.wait_delivered()
             time.sleep(PAUSE_S)
         since = time.monotonic()
         assert [c.read().status for c in late] == [504] * 5
@@ -71,13 +71,13 @@
         drained = node.backends[0]
         asked = len(node.discovery.calls)
         wait_for(lambda: len(node.discovery.calls) > asked)  # a watch shorter than the pause has just begun
-        with node.stopped():
+        with node.paused():
             for c in clients:  # these wait in the sockets ahead of the list
                 c.send(c.head("look", budget="15000m"))
             for c in clients:
-                c.arrived()
+                c.wait_delivered()
             sent = len(drained.requests)
-            node.discovery.tell([drained.row(lifecycle="draining")])
+            node.discovery.publish([drained.row(lifecycle="draining")])
             time.sleep(PAUSE_S)
         assert [c.read().status for c in clients] == [200] * 30
         assert len(drained.requests) == sent
@@ -133,7 +133,7 @@
         client = Client(node.address)
         with contextlib.closing(client):
             assert client.ask().status == 200
-            with node.stopped():
+            with node.paused():
                 client.send(client.head("look"))
                 time.sleep(0.5)
             assert client.read().status == 200
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from tests.loopback import PATIENCE, Node, answer, running, wait_for
+from tests.loopback import TIMEOUT_S, Node, answer, running, wait_for
 
 MB = 1_000_000
 
@@ -79,7 +79,7 @@
             most = max(most, node.rss_mb())
             time.sleep(0.02)
         for thread in threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
         assert sizes == [len(body)] * 12
         assert most < 80
 
@@ -89,7 +89,7 @@
 
     def script(sock: socket.socket, n: int) -> None:
         sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: 200000\r\n\r\n" + b"a" * 100_000)
-        more.wait(PATIENCE)
+        more.wait(TIMEOUT_S)
         sock.sendall(b"b" * 100_000)
 
     with running(script) as node, node.client() as client:
@@ -108,7 +108,7 @@
         first = node.second()
         assert client.ask("pay", b"x" * 15 * MB).status == 503  # more than half of the budget of 22 MB
         first.terminate()
-        assert first.wait(PATIENCE) == 0
+        assert first.wait(TIMEOUT_S) == 0
         wait_for(lambda: "hand-over: over" in node.log.read_text())
         with node.client() as after:
             assert after.ask("pay", b"x" * 15 * MB).status == 200
