--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -57,7 +57,7 @@
         now += 1000
         told = plan.take(name, now, proof=False)
         if told.answer is Answer.OPEN:
-            plan.waits_no_more(name)
+            plan.stop_waiting(name)
             plan.opened(told.connection, now, taken=True)
         out.append(told.connection)
         if len(out) > 20:
--- a/headspar/connections/plan.py
+++ b/headspar/connections/plan.py
@@ -339,7 +339,7 @@
         s.waiting += 1
         return Assignment(Answer.OPEN, self._make(s, now), tuple(close))
 
-    def waits_no_more(self, server: str) -> None:
+    def stop_waiting(self, server: str) -> None:
         """Records that an attempt stopped waiting: it got a connection or ended."""
         s = self.servers.get(server)
         if s is not None and s.waiting:
--- a/headspar/connections/waiters.py
+++ b/headspar/connections/waiters.py
@@ -40,7 +40,7 @@
         """Removes and returns the next attempt to get a connection; None if there is none."""
         while self.line:
             attempt = self.line.popleft()
-            self.plan.waits_no_more(self.server)
+            self.plan.stop_waiting(self.server)
             if attempt.ended:
                 continue
             if self.may_send(attempt):
--- a/tests/connections/test_plan.py
+++ b/tests/connections/test_plan.py
@@ -28,7 +28,7 @@
     result = p.take(server, now, proof=proof)
     assert result.answer in (Answer.USE, Answer.OPEN)
     if result.answer is Answer.OPEN:
-        p.waits_no_more(server)
+        p.stop_waiting(server)
         assert p.opened(result.connection, now, taken=True)
     return result.connection
 
@@ -172,7 +172,7 @@
     """Takes a connection to a server that accepts at most ``limit`` of them."""
     result = p.take(server, now, proof=False)
     if result.answer is Answer.OPEN:
-        p.waits_no_more(server)
+        p.stop_waiting(server)
         if p.servers[server].busy < limit:
             p.opened(result.connection, now, taken=True)
         else:
@@ -224,7 +224,7 @@
         keep_answering(p, "a", i * MS)
         result = p.take("a", i * MS, proof=False)
         assert result.answer is Answer.OPEN
-        p.waits_no_more("a")
+        p.stop_waiting("a")
         if rng.random() < 0.1 and i % 3:
             p.failed(result.connection, i * MS)
         else:
@@ -253,7 +253,7 @@
     answers = [p.take("a", 0, proof=False).answer for _ in range(20)]
     assert answers == [Answer.OPEN] * 2 + [Answer.WAIT] * 5 + [Answer.CANNOT] * 13
     for _ in range(7):
-        p.waits_no_more("a")
+        p.stop_waiting("a")
     for number in list(p.connections):
         p.failed(number, 200 * MS)
     assert p.take("a", 200 * MS, proof=False).answer is Answer.OPEN
@@ -266,7 +266,7 @@
     result = p.take("c", 10, proof=False)
     assert result.answer is Answer.OPEN and result.close == (a[0],)  # b's connection is idle longer, but its only one
     assert only in p.connections and len(p.connections) == 5
-    p.waits_no_more("c")
+    p.stop_waiting("c")
     p.opened(result.connection, 10, taken=True)
     for number in a[1:]:
         p.ended(number, 11)
@@ -366,12 +366,12 @@
     for result in answers:
         if result.answer is Answer.OPEN:
             p.opened(result.connection, 0, taken=True)
-            p.waits_no_more("a")
+            p.stop_waiting("a")
     while True:
         result = p.take("a", 1, proof=False)
         if result.answer is not Answer.OPEN:
             break
-        p.waits_no_more("a")
+        p.stop_waiting("a")
         p.opened(result.connection, 1, taken=True)
     assert result.answer is Answer.CANNOT and 70 <= p.servers["a"].held < 72  # an eighth of 80 is left
     for server in "bc":
@@ -471,9 +471,9 @@
             self.busy[result.connection] = server
         elif result.answer is Answer.OPEN:
             self.making[result.connection] = server
-            self.plan.waits_no_more(server)
+            self.plan.stop_waiting(server)
         elif result.answer is Answer.WAIT:
-            self.plan.waits_no_more(server)
+            self.plan.stop_waiting(server)
 
     @rule(i=st.integers(0, 3), proof=st.booleans(), count=st.integers(1, 4))
     def serve(self, i: int, proof: bool, count: int) -> None:
@@ -576,7 +576,7 @@
                 if 8 * (40 - before) < 40:
                     seen += 1
                     assert s.held <= max(2, s.ceiling(), 40 // 6)
-                p.waits_no_more(server)
+                p.stop_waiting(server)
                 p.opened(result.connection, now, taken=True)
             if result.answer in (Answer.USE, Answer.OPEN):
                 out.append(result.connection)
@@ -606,10 +606,10 @@
             elif result.answer is Answer.OPEN:
                 making.append((result.connection, server))
             elif result.answer is Answer.WAIT:
-                p.waits_no_more(server)
+                p.stop_waiting(server)
         elif draw < 0.65 and making:
             number, server = making.pop(rng.randrange(len(making)))
-            p.waits_no_more(server)
+            p.stop_waiting(server)
             if rng.random() < 0.1:
                 p.failed(number, now)
             elif p.opened(number, now, taken=True):
