--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -33,7 +33,7 @@
 
 from benchmarks.rig import Rig, node_command, progress, write_line
 from headspar.connections.plan import Answer, Plan, PlanSettings
-from headspar.connections.subset import Member, Subset, SubsetSettings
+from headspar.connections.subset import Subset, SubsetMember, SubsetSettings
 from headspar.lab.run import Result, run_scenario
 from headspar.world.audit import effects_per_key
 from headspar.world.scenario import parse
@@ -57,7 +57,7 @@
         now += 1000
         decision = plan.take(name, now, proof=False)
         if decision.answer is Answer.OPEN:
-            plan.waits_no_more(name)
+            plan.stop_waiting(name)
             plan.opened(decision.connection, now, taken=True)
         outstanding.append(decision.connection)
         if len(outstanding) > 20:
@@ -70,7 +70,7 @@
 
 def subset_balance(nodes: int = 40, servers: int = 1000, descriptors: int = 333) -> dict[str, int]:
     """How many nodes have each server in their subset, and how much a subset changes when one server is removed."""
-    members = [Member(f"i-{i}", f"z{i % 3}", i // 12) for i in range(servers)]
+    members = [SubsetMember(f"i-{i}", f"z{i % 3}", i // 12) for i in range(servers)]
     subsets = [Subset(SubsetSettings(descriptors, i, nodes)) for i in range(nodes)]
     count = Counter({m.id: 0 for m in members})
     exchanged = 0
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -103,7 +103,7 @@
 def new_version(number: int) -> Callable[[Path], None]:
     """An edit that makes a generation's program differ from all others."""
     def change(folder: Path) -> None:
-        path = folder / "program" / "headspar" / "reasons.py"
+        path = folder / "program" / "headspar" / "reason_phrases.py"
         path.write_text(path.read_text() + f"# version {number}\n")
 
     return change
--- a/headspar/model/node.py
+++ b/headspar/model/node.py
@@ -41,8 +41,8 @@
 from headspar.model.ports import InboundAttempt
 from headspar.model.references import Policy
 from headspar.model.servers import CashServer, Connection
+from headspar.node.backend_subset import Reach, subset_settings
 from headspar.node.backends import plan_settings
-from headspar.node.reach import Reach, subset_settings
 from headspar.operator_file import Connections as ConnectionsTable
 
 # Versions older than the handover of learned state lack this event; after an upgrade they start without it.
--- a/headspar/model/versions.py
+++ b/headspar/model/versions.py
@@ -11,6 +11,7 @@
 import hashlib
 import importlib.abc
 import importlib.machinery
+import importlib.util
 import io
 import os
 import subprocess
@@ -25,6 +26,8 @@
 import msgspec
 
 SHARED_PACKAGES = ("headspar.model", "headspar.world")  # always imported from the running tree
+# Modules that the model imports: this tree's name -> the name in the trees of earlier versions.
+RENAMED_MODULES = {"headspar.node.backend_subset": "headspar.node.reach"}
 HERE = Path(__file__).resolve().parents[2]
 GIT_TIMEOUT_S = 60
 
@@ -141,7 +144,10 @@
 
 
 class Finder(importlib.abc.MetaPathFinder):
-    """Imports ``headspar.*`` from a version's tree, except the model and the world, which come from this tree."""
+    """Imports ``headspar.*`` from a version's tree, except the model and the world, which come from this tree.
+
+    A module in ``RENAMED_MODULES`` is also looked for under its earlier name in the version's tree.
+    """
 
     def __init__(self, tree: Path) -> None:
         self.tree = tree
@@ -158,6 +164,10 @@
             # Modules that the model imports and an older version does not have come from this tree.
             folder = root.joinpath(*fullname.split(".")[:-1])
             found = importlib.machinery.PathFinder.find_spec(fullname, [str(folder)])
+            if found is None and root == self.tree and fullname in RENAMED_MODULES:
+                file = root.joinpath(*RENAMED_MODULES[fullname].split(".")).with_suffix(".py")
+                if file.is_file():
+                    found = importlib.util.spec_from_file_location(fullname, file)
             if found is not None:
                 return found
         return None
--- a/tests/versions/test_samples.py
+++ b/tests/versions/test_samples.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from headspar.decide import OUT_MOST, Balancer
+from headspar.decide import OUT_MAX_BACKENDS, Balancer
 from headspar.handover import beliefs as b
 from headspar.handover import messages as h
 from headspar.interface import PeerMessage, Recalled, RequestArrived, Send
@@ -90,7 +90,7 @@
     for peer in (0, 1, 0) if again else (0,):
         balancer.handle(NOW, [PeerMessage(peer, data)])
     backends = list(balancer.membership.backends.values())
-    assert len(balancer.picker.pool) == len(backends) - len(balancer.peers.spared)
+    assert len(balancer.picker.pool) == len(backends) - len(balancer.peers.avoided_until)
     assert all(0 <= x.peers <= 2 * 255 * 4096 * 85 for x in backends)
     assert len(chosen_backends(balancer)) >= 30 or not balancer.picker.pool
 
@@ -102,7 +102,7 @@
     known = [x.tag.to_bytes(2, "big") for x in balancer.membership.backends.values()]
     data = b"".join(known[i % 4] + b"\x07" for i in range(triples)) + version.to_bytes(2, "big") + b"\0"
     data += b"".join(known[i % 4] for i in range(tags)) + b"\x01" * odd
-    if 0 < tags <= OUT_MOST and not odd:
+    if 0 < tags <= OUT_MAX_BACKENDS and not odd:
         return  # this is the current format
     before = chosen_backends(module())
     for peer in (0, 1):
@@ -131,7 +131,7 @@
         found = b.decode(json.dumps(raw).encode())
     except b.BeliefsError:
         return
-    assert len(found.left) <= b.MOST_LEFT
+    assert len(found.left) <= b.MAX_LEFT
     balancer = module()
     balancer.handle(NOW, [Recalled(found.experience)])
     assert len(chosen_backends(balancer)) >= 15
