--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -42,8 +42,8 @@
 )
 from headspar.model.kept import MODES
 from headspar.model.simulate import Tuning, simulate
-from headspar.snapshot.ages import Header
-from headspar.snapshot.form import encode
+from headspar.snapshot.expiry import Header
+from headspar.snapshot.format import encode
 from headspar.snapshot.store import Store
 from headspar.snapshot.writer import Writer
 from headspar.world.comebacks import BLOW_S, Blow, scenario
@@ -108,8 +108,8 @@
         spent = []
         for _ in range(200):
             since = time.perf_counter()
-            writer.put(header, Beliefs(known, balancer.experience(), plan.learned()))
-            writer.turn()
+            writer.enqueue(header, Beliefs(known, balancer.experience(), plan.learned()))
+            writer.log_status_change()
             spent.append(1000 * (time.perf_counter() - since))
             time.sleep(0.002)
         since = time.perf_counter()
--- a/headspar/model/kept.py
+++ b/headspar/model/kept.py
@@ -6,7 +6,7 @@
 
 from headspar.handover.beliefs import Beliefs
 from headspar.interface import Experience, Settings
-from headspar.snapshot.ages import Header, Here, Taken, take
+from headspar.snapshot.expiry import Header, LocalIdentity, Restored, restore
 
 LYING = "lying"  # all that can be told the other way round
 OTHER = "other"  # the next node's
@@ -25,9 +25,9 @@
     return replace(beliefs, experience=told, learned=learned)
 
 
-def found(mode: str, beliefs: Beliefs, of: str, made_at: int, me: str, settings: Settings, now: int) -> Taken:
+def found(mode: str, beliefs: Beliefs, of: str, made_at: int, me: str, settings: Settings, now: int) -> Restored:
     """What is taken at ``now`` of one that node ``of`` made at ``made_at``, us of the run's clock."""
     age = AGES.get(mode, 0.0)
     header = Header(of, settings.zone, "settings", made_at - int(age * 1e6), 0)
-    here = Here(me, settings.zone, "settings", now, 0, {c.name: float(c.aim_us) for c in settings.classes})
-    return take(header, lying(beliefs) if mode == LYING else beliefs, here)
+    here = LocalIdentity(me, settings.zone, "settings", now, 0, {c.name: float(c.aim_us) for c in settings.classes})
+    return restore(header, lying(beliefs) if mode == LYING else beliefs, here)
--- a/headspar/process.py
+++ b/headspar/process.py
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from headspar.recorder.file import Recorder
-    from headspar.snapshot.keeping import Keeping
+    from headspar.snapshot.schedule import SnapshotSchedule
 
 PROGRAM_MB = 32  # the program itself (15), socket buffers, held requests
 BODY_MEMORY_SHARE = 0.7  # share of the remaining memory for bodies: one body of 32 MB fits in 80 MB
@@ -128,7 +128,7 @@
             self._share(shares.second(self.sole_process_share, taken.offer))
         beliefs = self._inherited_state()
         if beliefs is None and taken is None and self.snapshots is not None:
-            found = self.snapshots.found()
+            found = self.snapshots.restore()
             beliefs = self._with_newest_list(found.beliefs) if found is not None else None
         node.discovery.start(config.known if beliefs is None or beliefs.known is None else beliefs.known)
         if beliefs is not None:
@@ -154,7 +154,7 @@
         self._sweep()
         self._maintain()
         if self.snapshots is not None:
-            self.snapshots.begin()
+            self.snapshots.start()
         # SIGHUP is only recorded until here (``early_signals``), because a reload needs all parts.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if reload_wanted():
@@ -379,7 +379,7 @@
         if node.recorder is not None:
             node.recorder.close()
         if self.snapshots is not None:
-            self.snapshots.end()
+            self.snapshots.shutdown()
 
 
 def drain_accept_queue(listener: socket.socket, limit: int) -> Iterator[socket.socket]:
@@ -395,16 +395,16 @@
         yield sock
 
 
-def open_snapshots(config: Config, node: Node) -> Keeping | None:
+def open_snapshots(config: Config, node: Node) -> SnapshotSchedule | None:
     """Return the snapshot writer if the operator's file names a folder for snapshots."""
     table = config.operator.snapshot
     if not table.folder:
         return None
-    from headspar.snapshot.keeping import Keeping
+    from headspar.snapshot.schedule import SnapshotSchedule
 
     folder = Path(table.folder.replace("{name}", config.name))
-    return Keeping(folder, table.every_s, config.name, node, settings_digest(config.raw_settings),
-                   node.discovery.offset_us)
+    return SnapshotSchedule(folder, table.every_s, config.name, node, settings_digest(config.raw_settings),
+                            node.discovery.offset_us)
 
 
 def open_recorder(config: Config, node: Node) -> Recorder | None:
--- a/headspar/snapshot/cli.py
+++ b/headspar/snapshot/cli.py
@@ -17,8 +17,8 @@
 from rich.table import Table
 
 from headspar.commands import stop, writable
-from headspar.snapshot.ages import FIELDS, Here, take
-from headspar.snapshot.form import Snapshot
+from headspar.snapshot.expiry import FIELDS, LocalIdentity, restore
+from headspar.snapshot.format import Snapshot
 from headspar.snapshot.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="Inspect the learned state that a node keeps on its disk.")
@@ -74,14 +74,16 @@
     """Show, field by field, how much a node would restore from the newest snapshot now."""
     newest = _newest(folder)
     h, aims = newest.header, {cls: 1e12 for cls in newest.beliefs.experience.classes}
-    here = Here(name or h.name, site or h.site, settings or h.settings, time.time_ns() // 1000, h.offset_us, aims)
-    taken = take(h, newest.beliefs, here)
+    here = LocalIdentity(name or h.name, site or h.site, settings or h.settings, time.time_ns() // 1000, h.offset_us,
+                         aims)
+    taken = restore(h, newest.beliefs, here)
     if as_json:
         sys.stdout.write(json.dumps({
-            "whose": taken.whose.value, "age_s": taken.age_s, "weights": taken.weights, "notes": taken.notes}) + "\n")
+            "whose": taken.origin.value, "age_s": taken.age_s, "weights": taken.weights, "notes": taken.notes,
+        }) + "\n")
         return
     age = "of unknown age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
-    table = Table(box=None, header_style="bold", title=f"{taken.whose.value}, {age}", title_justify="left")
+    table = Table(box=None, header_style="bold", title=f"{taken.origin.value}, {age}", title_justify="left")
     for title in ("field", "weight", "source", "fallback"):
         table.add_column(title)
     for field, weight in taken.weights.items():
--- a/headspar/snapshot/ages.py
+++ b/headspar/snapshot/expiry.py
@@ -31,7 +31,7 @@
 RECOVERY_BOUND_US = 2_000_000  # after this, a wrong snapshot has no effect beyond what answers have not yet corrected
 
 
-class Whose(Enum):
+class Origin(Enum):
     """Origin of a snapshot relative to the node that reads it."""
 
     OWN = "this node's"
@@ -40,7 +40,7 @@
     SETTINGS = "from other settings"
 
 
-OWN, NODE, SITE, SETTINGS = Whose.OWN, Whose.NODE, Whose.SITE, Whose.SETTINGS
+OWN, NODE, SITE, SETTINGS = Origin.OWN, Origin.NODE, Origin.SITE, Origin.SETTINGS
 
 
 @dataclass(frozen=True)
@@ -55,10 +55,10 @@
     source: str
     half_life_s: float
     fallback: str
-    origins: frozenset[Whose]
+    origins: frozenset[Origin]
 
 
-ALL_ORIGINS = frozenset(Whose)
+ALL_ORIGINS = frozenset(Origin)
 FIELDS: dict[str, Field] = {f.name: f for f in (
     Field("capacity", "K, its horizon and rates: lateness of answers under this node's load", 20.0,
           "learned from the first answers on", frozenset((OWN,))),
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class Here:
+class LocalIdentity:
     """The node that reads a snapshot, and the time of the read (same units as ``Header``)."""
 
     name: str
@@ -110,18 +110,18 @@
 
 
 @dataclass
-class Taken:
+class Restored:
     """The restored part of a snapshot: state in the form of a hand-over, the weight of each field, and notes on
     rejected values."""
 
     beliefs: Beliefs
-    whose: Whose
+    origin: Origin
     age_s: float | None  # None: from the future
     weights: dict[str, float] = field(default_factory=dict)
     notes: list[str] = field(default_factory=list)
 
 
-def origin_of(header: Header, here: Here) -> Whose:
+def origin_of(header: Header, here: LocalIdentity) -> Origin:
     """Classify a snapshot's origin; differing settings take precedence over differing sites and names."""
     if header.settings != here.settings:
         return SETTINGS
@@ -130,7 +130,7 @@
     return OWN if header.name == here.name else NODE
 
 
-def weight(name: str, of: Whose, age_s: float) -> float:
+def weight(name: str, of: Origin, age_s: float) -> float:
     """Weight of a field, 0 to 1; 0 if it is not restored."""
     f = FIELDS[name]
     if not f.half_life_s or of not in f.origins:
@@ -139,10 +139,10 @@
     return share if share >= MIN_WEIGHT else 0.0
 
 
-def take(header: Header, beliefs: Beliefs, here: Here) -> Taken:
+def restore(header: Header, beliefs: Beliefs, here: LocalIdentity) -> Restored:
     """Restore what a process that starts now may use of a snapshot."""
     of, age_s = origin_of(header, here), (here.wall_us - header.wall_us) / 1e6
-    out = Taken(beliefs, of, max(0.0, age_s) if age_s >= -MAX_CLOCK_SKEW_S else None)
+    out = Restored(beliefs, of, max(0.0, age_s) if age_s >= -MAX_CLOCK_SKEW_S else None)
     age = UNKNOWN_AGE_S if out.age_s is None else out.age_s
     if out.age_s is None:
         out.notes.append(f"timestamp is {-age_s:.0f} s in the future: its age can't be told")
--- a/headspar/snapshot/form.py
+++ b/headspar/snapshot/format.py
@@ -11,7 +11,7 @@
 from headspar.handover.beliefs import MOST_BYTES, Beliefs, BeliefsError
 from headspar.handover.beliefs import decode as decode_beliefs
 from headspar.handover.beliefs import encode as encode_beliefs
-from headspar.snapshot.ages import Header
+from headspar.snapshot.expiry import Header
 
 MAGIC = "headspar snapshot"
 VERSION = 1
--- a/headspar/snapshot/keeping.py
+++ b/headspar/snapshot/schedule.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from headspar.handover.beliefs import Beliefs
-from headspar.snapshot.ages import Header, Here, Taken, take
+from headspar.snapshot.expiry import Header, LocalIdentity, Restored, restore
 from headspar.snapshot.store import Store
 from headspar.snapshot.writer import Writer
 
@@ -19,7 +19,7 @@
 FINAL_WRITE_TIMEOUT_S = 0.3  # shutdown waits no longer than this for the disk
 
 
-class Keeping:
+class SnapshotSchedule:
     """Snapshot schedule of one process.
 
     ``every_s``: write interval; ``settings``: digest of the node's settings; ``offset_us``: the node's
@@ -32,7 +32,7 @@
         self.writer = Writer(self.store, node.log)
         self.timer: asyncio.TimerHandle | None = None
 
-    def found(self) -> Taken | None:
+    def restore(self) -> Restored | None:
         """Read the newest snapshot and log what is restored from it; ``None`` if there is no usable one."""
         newest, errors = self.store.newest()
         for text in errors:
@@ -41,36 +41,36 @@
             return None
         self.writer.serial = newest.serial
         settings = self.node.settings
-        here = Here(self.name, settings.zone, self.settings, time.time_ns() // 1000, self.offset_us,
-                    {c.name: float(c.aim_us) for c in settings.classes})
-        taken = take(newest.header, newest.beliefs, here)
+        here = LocalIdentity(self.name, settings.zone, self.settings, time.time_ns() // 1000, self.offset_us,
+                             {c.name: float(c.aim_us) for c in settings.classes})
+        taken = restore(newest.header, newest.beliefs, here)
         age = "of unknown age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
         fields = ", ".join(name for name, weight in taken.weights.items() if weight) or "nothing"
-        self.node.log(f"snapshot: {taken.whose.value}, {age}; taken: {fields}"
+        self.node.log(f"snapshot: {taken.origin.value}, {age}; taken: {fields}"
                       + "".join(f"; {note}" for note in taken.notes + newest.beliefs.left))
         return taken
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start periodic writes.  The first delay is random, so that the nodes of a machine don't write in step."""
         self.timer = self.node.loop.call_later(self.every_s * (0.5 + random.random()), self._write_periodically)
 
     def _write_periodically(self) -> None:
         self.put()
-        self.writer.turn()
+        self.writer.log_status_change()
         self.timer = self.node.loop.call_later(self.every_s, self._write_periodically)
 
     def put(self) -> None:
         """Pass the current learned state to the writer."""
         node = self.node
         header = Header(self.name, node.settings.zone, self.settings, time.time_ns() // 1000, self.offset_us)
-        self.writer.put(header, Beliefs(node.discovery.known(), node.balancer.experience(),
-                                        node.backends.plan.learned()))
+        self.writer.enqueue(header, Beliefs(node.discovery.known(), node.balancer.experience(),
+                                            node.backends.plan.learned()))
 
-    def end(self) -> None:
+    def shutdown(self) -> None:
         """Write a final snapshot at shutdown, within ``FINAL_WRITE_TIMEOUT_S``, and release the folder."""
         if self.timer is not None:
             self.timer.cancel()
         self.put()
         self.writer.end(FINAL_WRITE_TIMEOUT_S)
-        self.writer.turn()
+        self.writer.log_status_change()
         self.store.release()
--- a/headspar/snapshot/store.py
+++ b/headspar/snapshot/store.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from headspar.failpoints import failpoint
-from headspar.snapshot.form import FormatError, Snapshot, decode
+from headspar.snapshot.format import FormatError, Snapshot, decode
 
 NAMES = ("snapshot-0", "snapshot-1")
 MAX_READ_BYTES = 8 << 20  # of one file
--- a/headspar/snapshot/writer.py
+++ b/headspar/snapshot/writer.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 
 from headspar.handover.beliefs import Beliefs
-from headspar.snapshot.ages import Header
-from headspar.snapshot.form import encode
+from headspar.snapshot.expiry import Header
+from headspar.snapshot.format import encode
 from headspar.snapshot.store import Store
 
 
 class Writer:
-    """``log`` writes one line; ``turn`` calls it in the event loop's thread."""
+    """``log`` writes one line; ``log_status_change`` calls it in the event loop's thread."""
 
     def __init__(self, store: Store, log: Callable[[str], None]) -> None:
         self.store, self.log = store, log
@@ -31,14 +31,14 @@
         self.thread = threading.Thread(target=self._run, name="snapshot", daemon=True)
         self.thread.start()
 
-    def put(self, header: Header, beliefs: Beliefs) -> None:
+    def enqueue(self, header: Header, beliefs: Beliefs) -> None:
         """Queue a snapshot; it replaces one that is still queued."""
         with self.lock:
             self.superseded += self.pending is not None
             self.pending = header, beliefs
             self.lock.notify()
 
-    def turn(self) -> None:
+    def log_status_change(self) -> None:
         """Log a change of the write status; called from the event loop."""
         with self.lock:
             error = self.last_error
--- a/tests/model/test_kept.py
+++ b/tests/model/test_kept.py
@@ -7,7 +7,7 @@
 from headspar.handover.beliefs import Beliefs
 from headspar.model.kept import LYING, MODES, OTHER, found, lying
 from headspar.model.simulate import Result, Tuning, TuningError, simulate
-from headspar.snapshot.ages import Whose
+from headspar.snapshot.expiry import Origin
 from headspar.world.scenario import Fault, Load, Nodes, Scenario, Servers, check
 from tests.handover.test_beliefs import learned
 from tests.helpers import settings
@@ -40,9 +40,9 @@
     beliefs = learned()[1]
     taken = {mode: found(mode, beliefs, "n2" if mode == OTHER else "n1", 5_000_000, "n1", settings(), 6_000_000)
              for mode in MODES}
-    assert taken["fresh"].age_s == 1.0 and taken["1 h"].age_s == 3601.0 and taken[OTHER].whose is Whose.NODE
+    assert taken["fresh"].age_s == 1.0 and taken["1 h"].age_s == 3601.0 and taken[OTHER].origin is Origin.NODE
     assert taken["fresh"].weights["capacity"] > 0.9 and taken["10 min"].weights["capacity"] == 0
-    assert taken[LYING].whose is Whose.OWN
+    assert taken[LYING].origin is Origin.OWN
 
 
 def test_a_lie_is_the_other_way_round() -> None:
--- a/tests/snapshot/test_ages.py
+++ b/tests/snapshot/test_expiry.py
@@ -25,8 +25,8 @@
     ServerExperience,
     TimerFired,
 )
-from headspar.snapshot import ages
-from headspar.snapshot.ages import DAY, FIELDS, HOUR, Header, Here, Whose, origin_of, take, weight
+from headspar.snapshot import expiry
+from headspar.snapshot.expiry import DAY, FIELDS, HOUR, Header, LocalIdentity, Origin, origin_of, restore, weight
 from tests.handover.test_beliefs import Module, learned
 from tests.helpers import entry, full
 from tests.helpers import settings as module_settings
@@ -36,29 +36,29 @@
 AIMS = {"look": 400_000.0, "pay": 400_000.0}
 
 
-def here(age_s: float = 1.0, **more: Any) -> Here:
-    return replace(Here("n1", "a", "s1", WALL + int(age_s * 1e6), -5_000, AIMS), **more)
+def here(age_s: float = 1.0, **more: Any) -> LocalIdentity:
+    return replace(LocalIdentity("n1", "a", "s1", WALL + int(age_s * 1e6), -5_000, AIMS), **more)
 
 
 def test_whose_a_snapshot_is() -> None:
-    assert origin_of(HEADER, here()) is Whose.OWN
-    assert origin_of(HEADER, here(name="n2")) is Whose.NODE
-    assert origin_of(HEADER, here(name="n2", site="b")) is Whose.SITE
-    assert origin_of(HEADER, here(settings="s2", site="b")) is Whose.SETTINGS  # differing settings take precedence
+    assert origin_of(HEADER, here()) is Origin.OWN
+    assert origin_of(HEADER, here(name="n2")) is Origin.NODE
+    assert origin_of(HEADER, here(name="n2", site="b")) is Origin.SITE
+    assert origin_of(HEADER, here(settings="s2", site="b")) is Origin.SETTINGS  # differing settings take precedence
 
 
 @pytest.mark.parametrize(("age_s", "of", "taken"), [
-    (1, Whose.OWN, "capacity health speed limits kinds classes work idle list"),
-    (60, Whose.OWN, "capacity health speed limits kinds classes work idle list"),
-    (120, Whose.OWN, "speed kinds classes work idle list"),
-    (HOUR, Whose.OWN, "kinds classes work idle list"),
-    (DAY, Whose.OWN, "work idle"),
-    (10 * DAY, Whose.OWN, ""),
-    (1, Whose.NODE, "speed kinds classes work idle list"),
-    (1, Whose.SITE, "kinds work idle"),
-    (1, Whose.SETTINGS, "kinds"),
+    (1, Origin.OWN, "capacity health speed limits kinds classes work idle list"),
+    (60, Origin.OWN, "capacity health speed limits kinds classes work idle list"),
+    (120, Origin.OWN, "speed kinds classes work idle list"),
+    (HOUR, Origin.OWN, "kinds classes work idle list"),
+    (DAY, Origin.OWN, "work idle"),
+    (10 * DAY, Origin.OWN, ""),
+    (1, Origin.NODE, "speed kinds classes work idle list"),
+    (1, Origin.SITE, "kinds work idle"),
+    (1, Origin.SETTINGS, "kinds"),
 ])
-def test_what_is_taken_by_its_age_and_by_whose_it_is(age_s: float, of: Whose, taken: str) -> None:
+def test_what_is_taken_by_its_age_and_by_whose_it_is(age_s: float, of: Origin, taken: str) -> None:
     found = {name for name in FIELDS if weight(name, of, age_s)}
     assert found == set(taken.split())
     for name in FIELDS:  # the weight never grows with age
@@ -74,10 +74,10 @@
 
 def test_a_fresh_one_of_this_node_is_nearly_what_a_hand_over_brings() -> None:
     _, beliefs = learned()
-    taken = take(HEADER, beliefs, here(0.5))
+    taken = restore(HEADER, beliefs, here(0.5))
     x, y = beliefs.experience, taken.beliefs.experience
     assert y.capacity["k"] == x.capacity["k"] and "proven" not in y.capacity and "late_num" not in y.capacity
-    assert y.classes["look"][1:] == x.classes["look"][1:] and y.classes["look"][0] == ages.MAX_CLASS_SAMPLES
+    assert y.classes["look"][1:] == x.classes["look"][1:] and y.classes["look"][0] == expiry.MAX_CLASS_SAMPLES
     unhealthy = {s.id: s.health for s in x.servers if s.health < 0.4}
     assert unhealthy and all(abs(s.health - unhealthy[s.id]) < 0.02 for s in y.servers if s.id in unhealthy)
     assert all(s.linger == 0 and s.last_ok == -1 for s in y.servers)
@@ -90,7 +90,7 @@
     unhealthy = min(beliefs.experience.servers, key=lambda s: s.health).id
     health, counts = [], []
     for age in (0.0, 10.0, 30.0, 60.0):
-        e = take(HEADER, beliefs, here(age)).beliefs.experience
+        e = restore(HEADER, beliefs, here(age)).beliefs.experience
         health.append(next(s.health for s in e.servers if s.id == unhealthy))
         counts.append(sum(row[1] for row in e.kinds.values()))
     assert health == sorted(health) and health[0] < 0.1 < 0.5 < health[-1]
@@ -99,16 +99,16 @@
 
 def test_one_from_the_future_is_as_old_as_can_be() -> None:
     _, beliefs = learned()
-    taken = take(HEADER, beliefs, here(-3600.0))
+    taken = restore(HEADER, beliefs, here(-3600.0))
     assert taken.age_s is None and {n for n, w in taken.weights.items() if w} == {"work", "idle"}
     assert "can't be told" in taken.notes[0]
-    assert take(HEADER, beliefs, here(-2.0)).age_s == 0.0  # within the tolerated clock skew
+    assert restore(HEADER, beliefs, here(-2.0)).age_s == 0.0  # within the tolerated clock skew
 
 
 def test_times_of_a_server_are_those_of_this_nodes_clock() -> None:
     _, beliefs = learned()
     beliefs.experience.servers[0].started_at_us = 70_000_000
-    moved = take(HEADER, beliefs, here(1.0, offset_us=-5_000 + 60_000_000)).beliefs.experience.servers
+    moved = restore(HEADER, beliefs, here(1.0, offset_us=-5_000 + 60_000_000)).beliefs.experience.servers
     assert moved[0].started_at_us == 130_000_000 and moved[1].started_at_us == 0
 
 
@@ -116,7 +116,7 @@
     _, beliefs = learned()
     for s in beliefs.experience.servers[:4]:
         s.health = 0.1
-    taken = take(HEADER, beliefs, here())
+    taken = restore(HEADER, beliefs, here())
     assert all(s.health == 1.0 for s in taken.beliefs.experience.servers)
     assert "4 of 6 servers unhealthy" in taken.notes[0]
 
@@ -126,7 +126,7 @@
     row = beliefs.experience.classes["look"]
     for i, value in ((1, 1e9), (5, 1e9), (6, 500.0)):
         wrong = replace(beliefs.experience, classes={"look": [*row[:i], value, *row[i + 1:]], "gone": row})
-        taken = take(HEADER, replace(beliefs, experience=wrong), here())
+        taken = restore(HEADER, replace(beliefs, experience=wrong), here())
         assert taken.beliefs.experience.classes == {} and "class look" in taken.notes[0]
 
 
@@ -183,13 +183,13 @@
 @given(beliefs=arbitrary_beliefs(), age_s=st.sampled_from([0.0, 5.0, 30.0, HOUR, DAY]))
 def test_the_worst_snapshot_moves_no_decision_for_longer_than_is_stated(beliefs: Beliefs, age_s: float) -> None:
     """After ``RECOVERY_BOUND_US`` an idle fleet refuses no request, and every healthy server receives its share."""
-    taken = take(HEADER, beliefs, here(age_s)).beliefs.experience
+    taken = restore(HEADER, beliefs, here(age_s)).beliefs.experience
     assert all(isfinite(v) for row in [*taken.kinds.values(), *taken.classes.values()] for v in row)
     balancer = Balancer(module_settings(must_subscribe=False), 7)
     balancer.handle(1_000_000, [full(6), Recalled(taken, soon=False)])
     refused, sent = under_load(balancer, 6.0, random.Random(1))
-    assert not [at for at in refused if at > ages.RECOVERY_BOUND_US], refused[-3:]
-    late_backends = [id for at, id in sent if at > 2 * ages.RECOVERY_BOUND_US]
+    assert not [at for at in refused if at > expiry.RECOVERY_BOUND_US], refused[-3:]
+    late_backends = [id for at, id in sent if at > 2 * expiry.RECOVERY_BOUND_US]
     assert len(late_backends) >= 150 and set(late_backends) == set(SERVERS)
     assert max(map(late_backends.count, SERVERS)) <= 0.6 * len(late_backends)
 
@@ -201,7 +201,7 @@
         m = Module()
         m.balancer = Balancer(module_settings(), seed)
         m.handle(full(6))
-        m.handle(Recalled(take(HEADER, beliefs, here()).beliefs.experience, soon=False))
+        m.handle(Recalled(restore(HEADER, beliefs, here()).beliefs.experience, soon=False))
         assert m.balancer.membership.ask_at is not None
         asked.append(m.balancer.membership.ask_at - m.now)
     assert max(asked) > 2_000_000 and sum(at < 500_000 for at in asked) < 10
--- a/tests/snapshot/test_over_processes.py
+++ b/tests/snapshot/test_over_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from headspar.snapshot.form import Snapshot
+from headspar.snapshot.format import Snapshot
 from headspar.snapshot.store import NAMES, Store
 from tests.loopback import Node, running, wait_for
 
--- a/tests/snapshot/test_store.py
+++ b/tests/snapshot/test_store.py
@@ -21,9 +21,9 @@
 from headspar import failpoints
 from headspar.cli import app
 from headspar.handover.beliefs import Beliefs
-from headspar.snapshot import form
-from headspar.snapshot.ages import Header
-from headspar.snapshot.form import FormatError, decode, encode, pack
+from headspar.snapshot import format
+from headspar.snapshot.expiry import Header
+from headspar.snapshot.format import FormatError, decode, encode, pack
 from headspar.snapshot.store import NAMES, Store
 from headspar.snapshot.writer import Writer
 from tests.handover.test_beliefs import learned
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("line", [
-    {}, {"is": "other"}, {"is": form.MAGIC}, {"is": form.MAGIC, "v": 9, "least": 9}, [], 7,
+    {}, {"is": "other"}, {"is": format.MAGIC}, {"is": format.MAGIC, "v": 9, "least": 9}, [], 7,
 ])
 def test_another_form_with_a_sound_check_sum_is_turned_down_in_a_line(line: Any) -> None:
     text = json.dumps(line).encode()
@@ -122,8 +122,8 @@
 import sys, time
 from pathlib import Path
 from headspar import failpoints
-from headspar.snapshot.form import pack
-from headspar.snapshot.ages import Header
+from headspar.snapshot.format import pack
+from headspar.snapshot.expiry import Header
 from headspar.snapshot.store import Store
 body = Path(sys.argv[2]).read_bytes()
 store = Store(Path(sys.argv[1]))
@@ -189,13 +189,13 @@
 def test_while_a_write_hangs_the_newest_waits_and_nobody_else(tmp_path: Path, beliefs: Beliefs) -> None:
     store = BlockingStore(tmp_path)
     writer = Writer(store, lambda text: None)
-    writer.put(HEADER, beliefs)
+    writer.enqueue(HEADER, beliefs)
     assert store.begun.wait(10)
     longest = 0.0
     for i in range(50):
         since = time.perf_counter()
-        writer.put(replace(HEADER, wall_us=i), beliefs)
-        writer.turn()
+        writer.enqueue(replace(HEADER, wall_us=i), beliefs)
+        writer.log_status_change()
         longest = max(longest, time.perf_counter() - since)
     assert writer.superseded == 49 and longest < 0.1
     assert not writer.end(0.01)  # shutdown waits no longer than its time-out
@@ -213,10 +213,10 @@
         for turn in range(1, 7):
             if turn == 5:
                 failpoints.arm({})
-            writer.put(HEADER, beliefs)
+            writer.enqueue(HEADER, beliefs)
             with writer.lock:
                 assert writer.lock.wait_for(lambda t=turn: writer.written + writer.failed == t, 10)  # type: ignore[misc]
-            writer.turn()
+            writer.log_status_change()
     finally:
         failpoints.arm({})
     assert len(logged) == 2 and os.strerror(errno.ENOSPC) in logged[0] and logged[1].endswith("kept again")
@@ -226,17 +226,17 @@
 def test_a_clone_beside_a_node_keeps_nothing_and_says_so(tmp_path: Path, beliefs: Beliefs) -> None:
     logged: list[str] = []
     one, two = Writer(Store(tmp_path), logged.append), Writer(Store(tmp_path), logged.append)
-    one.put(HEADER, beliefs)
+    one.enqueue(HEADER, beliefs)
     assert one.end(10)
-    two.put(replace(HEADER, wall_us=1), beliefs)
+    two.enqueue(replace(HEADER, wall_us=1), beliefs)
     assert not two.end(10)
-    two.turn()
+    two.log_status_change()
     assert logged == [f"snapshot: {tmp_path}: not kept: another process of this node holds the write lock"]
     newest, _ = Store(tmp_path).newest()
     assert newest is not None and newest.header == HEADER
     one.store.release()
     three = Writer(Store(tmp_path), logged.append)  # serials continue from the stored snapshot
-    three.put(replace(HEADER, wall_us=2), beliefs)
+    three.enqueue(replace(HEADER, wall_us=2), beliefs)
     assert three.end(10) and three.serial == 2
 
 
