--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -112,7 +112,7 @@
     async def one(name: str) -> m.Status | None:
         listen = run.keepers[name].listen
         try:
-            return (await send(Member(name, "", f"{listen[0]}:{listen[1]}"), m.Ask())).status
+            return (await send(Member(name, "", f"{listen[0]}:{listen[1]}"), m.QueryStatus())).status
         except OSError:
             return None
 
--- a/headspar/keeper/pauses.py
+++ b/headspar/keeper/backoff.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PauseSettings:
+class BackoffSettings:
     """Times in seconds.  ``spread``: upper end of the random delay before the first start and before the first
     restart after a long healthy run."""
 
@@ -20,10 +20,10 @@
     healthy: float = 60.0  # a run of this length resets the backoff
 
 
-class Pauses:
+class RestartBackoff:
     """Backoff state of one node: its consecutive failures."""
 
-    def __init__(self, settings: PauseSettings, rng: random.Random) -> None:
+    def __init__(self, settings: BackoffSettings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.failures = 0
 
--- a/headspar/keeper/cli.py
+++ b/headspar/keeper/cli.py
@@ -42,7 +42,7 @@
     raise typer.Exit(keeper_main.main([str(file)]))
 
 
-def rows(statuses: dict[str, Status | None]) -> Table:
+def status_table(statuses: dict[str, Status | None]) -> Table:
     """A table with one row per keeper and its node; ``None`` stands for a keeper that did not answer."""
     table = Table(box=None, header_style="bold")
     for name in ("node", "site", "state", "runs", "present", "trial", "rate", "cold", "restarts", "last change"):
@@ -75,7 +75,7 @@
     if as_json:
         sys.stdout.write(msgspec.json.encode(found).decode() + "\n")
     else:
-        Console().print(rows({found.name: found}))
+        Console().print(status_table({found.name: found}))
 
 
 @app.command()
--- a/headspar/keeper/words.py
+++ b/headspar/keeper/commands.py
@@ -27,8 +27,8 @@
     step: int = 0
 
 
-def weigh(
-    command: m.Word, name: str, fence: Fence, core: Core, has: Callable[[str], bool], down: bool,
+def check_command(
+    command: m.KeeperCommand, name: str, fence: Fence, core: Core, has: Callable[[str], bool], down: bool,
 ) -> Assessment:
     """Check a command.  ``name``: this keeper's node; ``has``: whether a generation is stored here; ``down``: the
     node is not serving."""
@@ -45,19 +45,19 @@
         assert fence.answer is not None
         return Assessment(verdict, bool(fence.answer["ok"]), str(fence.answer["why"]), False, step)
     why = _refusal(command, core, has)
-    if not why and isinstance(command, m.Try | m.Back) and command.down and not down:
+    if not why and isinstance(command, m.StartTrial | m.RollBack) and command.down and not down:
         why = "the node is serving now"
     # A refusal consumes its step too: a delayed copy of the command must not be accepted later.
     return Assessment(verdict, not why, why, step > 0 or command.epoch > fence.epoch, step)
 
 
-def _refusal(command: m.Word, core: Core, has: Callable[[str], bool]) -> str:
+def _refusal(command: m.KeeperCommand, core: Core, has: Callable[[str], bool]) -> str:
     """Why the command is not possible now; empty if it is."""
-    if isinstance(command, m.Try):
+    if isinstance(command, m.StartTrial):
         return core.refusal(command.order) if has(command.order.generation) else "this generation is not stored here"
-    if isinstance(command, m.Back):
+    if isinstance(command, m.RollBack):
         return "" if has(command.generation) else "this generation is not stored here"
-    if isinstance(command, m.Hold | m.Confirm):
+    if isinstance(command, m.PinTrial | m.Confirm):
         if core.trial != command.generation:
             return "this generation is not on trial"
         if isinstance(command, m.Confirm) and (core.course is not Course.PROVING or core.running != core.trial):
@@ -65,25 +65,26 @@
     return ""
 
 
-def take(
-    command: m.Word, assessment: Assessment, fence: Fence, core: Core, now: float, keep: Callable[[Fence], bool],
+def apply_command(
+    command: m.KeeperCommand, assessment: Assessment, fence: Fence, core: Core, now: float,
+    keep: Callable[[Fence], bool],
 ) -> Fence:
     """Apply a command that counts to the durable state, and save the state with the new fence through ``keep``.
     Returns the fence in force: the previous one, with the state restored, if saving failed."""
     after = fence.accept(command.epoch, assessment.step,
                        {"ok": assessment.ok, "why": assessment.why} if assessment.step else None)
-    before = copy.deepcopy(core.lasting)
+    before = copy.deepcopy(core.durable)
     if assessment.ok:
-        if isinstance(command, m.Try):
+        if isinstance(command, m.StartTrial):
             core.begin_trial(command.order, now)
-        elif isinstance(command, m.Back):
+        elif isinstance(command, m.RollBack):
             core.roll_back(command.generation, command.reason[:200], now)
-        elif isinstance(command, m.Hold):
+        elif isinstance(command, m.PinTrial):
             core.pin()
         elif isinstance(command, m.Confirm):
             core.confirm()
     if keep(after):
-        core.heard(command.clock, now)
+        core.record_contact(command.clock, now)
         return after
     core.restore(before, now)
     return fence
--- a/headspar/keeper/core.py
+++ b/headspar/keeper/core.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from headspar.keeper.pauses import Pauses
+from headspar.keeper.backoff import RestartBackoff
 from headspar.keeper.slots import Clock, Slot
 
 
@@ -133,7 +133,7 @@
     reload: float = 5.0
     retry: float = 1.0  # between two starts beside a serving process
     max_trial_failures: int = 2  # deaths or failed starts before a trial is abandoned
-    hopeless: int = 5  # consecutive failed starts of the wanted generation before an operator is needed
+    max_failed_starts: int = 5  # consecutive failed starts of the wanted generation before an operator is needed
 
 
 class Proc(msgspec.Struct):
@@ -199,7 +199,7 @@
     reason: str
 
 
-class Lasting(msgspec.Struct):
+class DurableState(msgspec.Struct):
     """State that survives the keeper; it is saved before the keeper acts on it.  ``present`` is the confirmed
     generation and ``before`` the previous one; empty if there is none."""
 
@@ -220,16 +220,16 @@
     ``on_transition(table, before, cause, after)`` is called for each transition."""
 
     def __init__(
-        self, timing: Timing, pauses: Pauses, only_settings: OnlySettings, on_transition: TransitionListener,
+        self, timing: Timing, backoff: RestartBackoff, only_settings: OnlySettings, on_transition: TransitionListener,
     ) -> None:
-        self.timing, self.pauses, self.only_settings, self.on_transition = (
-            timing, pauses, only_settings, on_transition)
-        self.lasting = Lasting()
+        self.timing, self.backoff, self.only_settings, self.on_transition = (
+            timing, backoff, only_settings, on_transition)
+        self.durable = DurableState()
         self.phase = Phase.ABSENT
         self.clock = Clock()
         self.procs: dict[int, Proc] = {}
         self.serving: int | None = None
-        self.coming: int | None = None
+        self.starting: int | None = None
         self.next_key = 1
         self.start_not_before = 0.0  # backoff: earliest start of an absent node or of a second process
         self.phase_since = 0.0
@@ -245,17 +245,17 @@
 
     @property
     def course(self) -> Course:
-        return self.lasting.course
+        return self.durable.course
 
     @property
     def trial(self) -> str:
         """The generation on trial; empty if there is none."""
-        order = self.lasting.order
+        order = self.durable.order
         return order.generation if order is not None and self.course in (K.TRYING, K.PROVING) else ""
 
     @property
     def wanted(self) -> str:
-        return self.trial or self.lasting.present
+        return self.trial or self.durable.present
 
     @property
     def running(self) -> str:
@@ -281,7 +281,7 @@
     def _course(self, cause: Cause) -> None:
         after = COURSES[self.course, cause]
         self.on_transition("course", self.course.value, cause.value, after.value)
-        self.lasting.course = after
+        self.durable.course = after
 
     def _take_actions(self) -> list[Action]:
         actions, self.pending_actions = self.pending_actions, []
@@ -289,34 +289,34 @@
 
     # ------------------------------------------------------------ start of a keeper
 
-    def resume(self, lasting: Lasting, procs: list[Proc], serving: int | None, coming: int | None,
+    def resume(self, durable: DurableState, procs: list[Proc], serving: int | None, starting: int | None,
                now: float) -> None:
         """Continue from the durable state and the processes found running.  Processes that are neither serving nor
         starting are terminated.  A serving generation that the state does not name is put on trial; without any state
         it becomes the present one."""
-        self.lasting = lasting
+        self.durable = durable
         self.procs = {p.key: p for p in procs}
         self.next_key = max(self.procs, default=0) + 1
-        self.serving, self.coming = serving, coming
+        self.serving, self.starting = serving, starting
         self.last_contact_at = self.phase_since = now
-        if not lasting.present and procs:  # no durable state: adopt the running or starting generation
-            adopted = serving if serving is not None else coming if coming is not None else procs[-1].key
-            lasting.present = self.procs[adopted].generation
+        if not durable.present and procs:  # no durable state: adopt the running or starting generation
+            adopted = serving if serving is not None else starting if starting is not None else procs[-1].key
+            durable.present = self.procs[adopted].generation
         if serving is not None:
-            self.phase = P.BESIDE if coming is not None else P.SERVING
+            self.phase = P.BESIDE if starting is not None else P.SERVING
             running = self.running
-            if running not in (lasting.present, lasting.order.generation if lasting.order else ""):
-                lasting.order = Order("", running, 0.0)
-                lasting.course = K.PROVING
+            if running not in (durable.present, durable.order.generation if durable.order else ""):
+                durable.order = Order("", running, 0.0)
+                durable.course = K.PROVING
             if self.course is K.PROVING and running == self.trial:
-                self.proving_until = now + (lasting.order.proving_s if lasting.order else 0.0)
-        elif coming is not None:
+                self.proving_until = now + (durable.order.proving_s if durable.order else 0.0)
+        elif starting is not None:
             self.phase = P.STARTING
         else:
             self.phase = P.ABSENT
-            self.start_not_before = now + self.pauses.initial_delay()
+            self.start_not_before = now + self.backoff.initial_delay()
         for p in procs:
-            if p.key not in (serving, coming):
+            if p.key not in (serving, starting):
                 p.terminated_at = now
                 self.pending_actions.append(Term(p.key))
 
@@ -327,39 +327,39 @@
         decides whether two changes may run at once, and the epoch decides who leads."""
         if self.course is K.ROLLING_BACK:
             return "going back"
-        if not self.lasting.present:
+        if not self.durable.present:
             return "no generation to roll back to"
         return ""
 
     def begin_trial(self, order: Order, now: float) -> None:
         """Accept a trial that was not refused.  As with all commands, ``advance`` then acts on it."""
         if self.trial == order.generation:
-            self.lasting.order = order
+            self.durable.order = order
             return
         if self.trial:  # replaces another generation on trial
             self._course(C.ROLL_BACK)
             self._course(C.ARRIVED)
-        self.lasting.order, self.lasting.deaths = order, 0
-        self.lasting.outcome = None
+        self.durable.order, self.durable.deaths = order, 0
+        self.durable.outcome = None
         self._target_changed(now)
         self._course(C.TRIAL_ORDERED)
 
     def confirm(self) -> bool:
         """Make the generation on trial the present one; returns False unless it serves."""
-        order = self.lasting.order
+        order = self.durable.order
         if self.course is not K.PROVING or order is None or self.running != order.generation:
             return False
-        if order.generation != self.lasting.present:
-            self.lasting.before, self.lasting.present = self.lasting.present, order.generation
-        self.lasting.outcome = Outcome(order.change, order.generation, "confirmed", "")
+        if order.generation != self.durable.present:
+            self.durable.before, self.durable.present = self.durable.present, order.generation
+        self.durable.outcome = Outcome(order.change, order.generation, "confirmed", "")
         self._course(C.CONFIRM)
-        self.lasting.order = None
+        self.durable.order = None
         return True
 
     def roll_back(self, generation: str, reason: str, now: float) -> None:
         """Make ``generation`` the present one and move to it, whatever runs."""
-        if generation != self.lasting.present:
-            self.lasting.before, self.lasting.present = self.lasting.present, generation
+        if generation != self.durable.present:
+            self.durable.before, self.durable.present = self.durable.present, generation
         if self.trial:
             self._abandon_trial(C.ROLL_BACK, reason, now)
         else:
@@ -368,18 +368,18 @@
 
     def pin(self) -> None:
         """Let the trial continue without contact to a controller: the change is about to be confirmed."""
-        order = self.lasting.order
+        order = self.durable.order
         if order is not None:
-            self.lasting.order = msgspec.structs.replace(order, silence="hold")
+            self.durable.order = msgspec.structs.replace(order, silence="hold")
 
-    def restore(self, lasting: Lasting, now: float) -> None:
+    def restore(self, durable: DurableState, now: float) -> None:
         """Undo a command that could not be saved.  A trial's proving time starts again."""
-        self.lasting = lasting
+        self.durable = durable
         self._target_changed(now)
-        if self.course is K.PROVING and lasting.order is not None:
-            self.proving_until = now + lasting.order.proving_s
+        if self.course is K.PROVING and durable.order is not None:
+            self.proving_until = now + durable.order.proving_s
 
-    def heard(self, clock: float, now: float) -> None:
+    def record_contact(self, clock: float, now: float) -> None:
         """Record contact with a controller; ``clock``: the time on the clock of the change."""
         self.last_contact_at = now
         self.clock.update(clock, now)
@@ -393,10 +393,10 @@
     def ready(self, key: int, now: float) -> list[Action]:
         """A started process passed its health check."""
         p = self.procs.get(key)
-        if p is None or key != self.coming or p.killed:
+        if p is None or key != self.starting or p.killed:
             return []
         p.ready = now
-        previous, self.serving, self.coming = self.serving, key, None
+        previous, self.serving, self.starting = self.serving, key, None
         self._phase(C.READY, now)
         if previous is not None:
             self._terminate(previous, now)
@@ -405,7 +405,7 @@
         if p.generation == self.trial:
             if self.course is K.TRYING:
                 self._course(C.READY)
-            order = self.lasting.order
+            order = self.durable.order
             self.proving_until = now + (order.proving_s if order is not None else 0.0)
         return self.advance(now)
 
@@ -414,8 +414,8 @@
         p = self.procs.pop(key, None)
         if p is None:
             return []
-        if key == self.coming:
-            self.coming = None
+        if key == self.starting:
+            self.starting = None
             if self.serving is None:
                 self._phase(C.DIED, now)
                 self._start_failed(p, now)
@@ -438,7 +438,7 @@
             return
         self.restarts += 1
         served_s = now - p.ready if p.ready >= 0 else 0.0
-        delay = self.pauses.restart_delay(served_s)
+        delay = self.backoff.restart_delay(served_s)
         if p.generation == self.trial and not 0 <= self.proving_until <= now:
             self._trial_failed(now)
         self._phase(C.DIED, now)
@@ -446,17 +446,17 @@
             self.start_not_before = now + delay
 
     def _trial_failed(self, now: float) -> None:
-        self.lasting.deaths += 1
-        if self.lasting.deaths >= self.timing.max_trial_failures:
-            self._abandon_trial(C.TRIAL_FAILED, f"died or failed to start {self.lasting.deaths} times", now)
+        self.durable.deaths += 1
+        if self.durable.deaths >= self.timing.max_trial_failures:
+            self._abandon_trial(C.TRIAL_FAILED, f"died or failed to start {self.durable.deaths} times", now)
 
     def _abandon_trial(self, cause: Cause, reason: str, now: float) -> None:
         """End the trial and return to the present generation."""
-        order = self.lasting.order
+        order = self.durable.order
         assert order is not None
-        self.lasting.outcome = Outcome(order.change, order.generation, "back", reason)
+        self.durable.outcome = Outcome(order.change, order.generation, "back", reason)
         self._course(cause)
-        self.lasting.order = None
+        self.durable.order = None
         self._target_changed(now)
 
     def _start_failed(self, p: Proc, now: float) -> None:
@@ -464,14 +464,14 @@
         self.failed_starts += 1
         if self.phase is P.ABSENT:
             self.start_not_before = (now if p.killed and p.generation != self.wanted
-                                     else now + self.pauses.restart_delay(0.0))
+                                     else now + self.backoff.restart_delay(0.0))
         if p.generation == self.trial:
             self._trial_failed(now)
-        elif self.failed_starts >= self.timing.hopeless and self.course in (K.ROLLING_BACK, K.SETTLED):
+        elif self.failed_starts >= self.timing.max_failed_starts and self.course in (K.ROLLING_BACK, K.SETTLED):
             self._course(C.STARTS_EXHAUSTED)
 
     def _handover_failed(self, now: float) -> None:
-        order = self.lasting.order
+        order = self.durable.order
         if self.trial and order is not None and not order.restart:
             self._abandon_trial(C.NO_HANDOVER, "no hand-over, and the order allows no restart", now)
         else:
@@ -489,7 +489,7 @@
             if wanted == self.trial:
                 if self.course is K.TRYING:
                     self._course(C.READY)
-                order = self.lasting.order
+                order = self.durable.order
                 self.proving_until = now + (order.proving_s if order is not None else 0.0)
             return self.advance(now)
         self._phase(C.SETTINGS_REJECTED, now)
@@ -499,7 +499,7 @@
             self.no_handover = True  # a rollback must not depend on a process that rejects settings
         return self.advance(now)
 
-    def drained_(self, key: int, now: float) -> list[Action]:
+    def drain_finished(self, key: int, now: float) -> list[Action]:
         """A drain ended: the process has no requests left, or does not answer."""
         if key == self.serving and self.phase is P.DRAINING:
             self.drained = True
@@ -507,7 +507,7 @@
 
     def health_check_failed(self, key: int, now: float) -> None:
         """The serving process did not answer a poll: the proving time of a trial starts again."""
-        order = self.lasting.order
+        order = self.durable.order
         if key == self.serving and self.course is K.PROVING and order is not None:
             self.proving_until = now + order.proving_s
 
@@ -534,7 +534,7 @@
     def _start(self, beside: bool, now: float) -> None:
         key, self.next_key = self.next_key, self.next_key + 1
         self.procs[key] = Proc(key, self.wanted, now)
-        self.coming = key
+        self.starting = key
         self._phase(C.SECOND_STARTED if beside else C.START, now)
         self.pending_actions.append(Start(key, self.wanted, beside))
 
@@ -545,11 +545,11 @@
         for p in self.procs.values():
             if 0 <= p.terminated_at <= now - t.end:
                 self._kill(p)
-        if self.coming is not None and (coming := self.procs[self.coming]):
-            if now - coming.since > t.start or coming.generation != self.wanted:
-                self._kill(coming)
+        if self.starting is not None and (starting := self.procs[self.starting]):
+            if now - starting.since > t.start or starting.generation != self.wanted:
+                self._kill(starting)
         if self.serving is not None and (serving := self.procs[self.serving]).ready >= 0:
-            self.pauses.note_uptime(now - serving.ready)
+            self.backoff.note_uptime(now - serving.ready)
         if self.phase is P.ABSENT:
             if now >= self.start_not_before and self.wanted and not self._has_leftover():
                 self._start(False, now)
@@ -573,7 +573,7 @@
                 self._course(C.ARRIVED)
             elif self.course is K.TRYING:  # the generation was already running
                 self._course(C.READY)
-                order = self.lasting.order
+                order = self.durable.order
                 self.proving_until = now + (order.proving_s if order is not None else 0.0)
             return
         if (now < self.start_not_before or self._has_leftover()
@@ -590,17 +590,17 @@
             self._start(True, now)
 
     def _may_reload(self) -> bool:
-        order = self.lasting.order
+        order = self.durable.order
         return order is None or not self.trial or order.reload
 
     def _has_leftover(self) -> bool:
         """Whether a process that is neither serving nor starting still runs: it occupies an operators' address."""
-        return any(key not in (self.serving, self.coming) for key in self.procs)
+        return any(key not in (self.serving, self.starting) for key in self.procs)
 
     def _check_contact(self, now: float) -> None:
         """Roll a trial back if no controller is reachable and the order asks for it; waits for the node's slot, if it
         has one."""
-        order = self.lasting.order
+        order = self.durable.order
         if (not self.trial or order is None or order.silence != "back"
                 or now - self.last_contact_at < order.silence_s):
             return
--- a/headspar/keeper/host.py
+++ b/headspar/keeper/host.py
@@ -20,15 +20,16 @@
 from headspar.failpoints import failpoint
 from headspar.identity import NO_HANDOVER, boot_id, settings_digest
 from headspar.keeper import messages as m
-from headspar.keeper import processes, words
-from headspar.keeper.calls import Address, call, healthy
+from headspar.keeper import processes
+from headspar.keeper.backoff import BackoffSettings, RestartBackoff
+from headspar.keeper.commands import apply_command, check_command
 from headspar.keeper.core import (
     Action,
     Core,
     Course,
     Drain,
+    DurableState,
     Kill,
-    Lasting,
     Phase,
     Proc,
     Reload,
@@ -39,7 +40,7 @@
 )
 from headspar.keeper.fence import Fence
 from headspar.keeper.generations import GenerationError, Store, digest
-from headspar.keeper.pauses import Pauses, PauseSettings
+from headspar.keeper.node_client import Address, call, healthy
 from headspar.keeper.processes import Handle
 from headspar.keeper.state import ProcessRecord, Saved, StateError, StateFile
 from headspar.operator_file import KeeperTable
@@ -115,10 +116,10 @@
         except OSError as error:
             raise HostError(f"{error.filename}: {error.strerror}") from None
         self.state = StateFile(self.folder)
-        pauses = Pauses(PauseSettings(table.pause_s, table.ceiling_s, table.spread_s, table.healthy_s),
-                        random.Random())
+        backoff = RestartBackoff(BackoffSettings(table.pause_s, table.ceiling_s, table.spread_s, table.healthy_s),
+                                 random.Random())
         timing = Timing(table.start_s, table.drain_s, table.end_s)
-        self.core = Core(timing, pauses, self.store.only_settings, self._log_transition)
+        self.core = Core(timing, backoff, self.store.only_settings, self._log_transition)
         self.fence = Fence()
         self.node_processes: dict[int, NodeProcess] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -168,7 +169,7 @@
         except StateError as error:
             self.events.say("keeper.state_lost", why=str(error))
         epoch, step = self.state.read_fence()
-        lasting = saved.lasting if saved is not None else Lasting()
+        durable = saved.lasting if saved is not None else DurableState()
         self.fence = saved.fence if saved is not None else Fence()
         known = {(k.pid, k.started): k for k in (saved.processes if saved is not None else [])}
         for ops in self.machine.ops:
@@ -182,7 +183,7 @@
         if (epoch, step) > (self.fence.epoch, self.fence.step):
             answer = self.fence.answer if step == self.fence.step else None
             self.fence = Fence(max(epoch, self.fence.epoch), max(step, self.fence.step), answer)
-        procs, serving, coming = [], None, None
+        procs, serving, starting = [], None, None
         answering = [k for k in known.values() if k.role == "serving" and k.ready]
         for number, k in enumerate(known.values(), 1):
             handle = Handle.find(k.pid, k.started, k.boot)
@@ -197,15 +198,15 @@
             if k.ready and k.role == "serving" and (serving is None or k is answering[-1]):
                 serving = number
             elif k.role == "coming":
-                coming = number
+                starting = number
             self._watch(process)
-        if serving is None and coming is None and procs:  # runs without answering: treat it as starting
-            coming = procs[-1].key
-        if not lasting.present and not procs:
-            lasting.present = self._first_generation()
-        if coming is not None:
-            self._spawn(self._wait_until_ready(self.node_processes[coming]))
-        self.core.resume(lasting, procs, serving, coming, now)
+        if serving is None and starting is None and procs:  # runs without answering: treat it as starting
+            starting = procs[-1].key
+        if not durable.present and not procs:
+            durable.present = self._first_generation()
+        if starting is not None:
+            self._spawn(self._wait_until_ready(self.node_processes[starting]))
+        self.core.resume(durable, procs, serving, starting, now)
         self.events.say("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
                         state=self.core.state)
         self._execute(self.core.advance(now))
@@ -294,12 +295,12 @@
         core = self.core
         rows = []
         for key, r in self.node_processes.items():
-            role = "serving" if key == core.serving else "coming" if key == core.coming else ""
+            role = "serving" if key == core.serving else "coming" if key == core.starting else ""
             proc = core.procs.get(key)
             rows.append(ProcessRecord(
                 r.handle.pid, r.handle.started, boot_id(), proc.generation if proc else r.generation,
                 r.ops, role, proc is not None and proc.ready >= 0))
-        return Saved(core.lasting, self.fence, rows)
+        return Saved(core.durable, self.fence, rows)
 
     def _save(self) -> bool:
         """Write the state; on failure returns False and logs the first one in a row."""
@@ -387,7 +388,7 @@
 
     async def _wait_until_ready(self, process: NodeProcess) -> None:
         """Poll a starting process until its health check passes."""
-        while process.key in self.node_processes and self.core.coming == process.key:
+        while process.key in self.node_processes and self.core.starting == process.key:
             with contextlib.suppress(OSError):
                 if (await call(process.address, "/healthcheck"))[0] == 200:
                     found = await self._identify(process.ops)
@@ -410,7 +411,7 @@
                 if time.monotonic() - since > self.table.drain_s / 2 and stats.get("concurrent") == 0:
                     break
                 await asyncio.sleep(READINESS_POLL_S)
-        self._execute(self.core.drained_(process.key, time.monotonic()))
+        self._execute(self.core.drain_finished(process.key, time.monotonic()))
 
     async def _undrain(self, process: NodeProcess) -> None:
         with contextlib.suppress(OSError):
@@ -437,7 +438,7 @@
         self.events.say("keeper.settings", generation=generation, taken=taken, why="" if taken else why)
         if not taken:  # the file must contain the settings in force, since the next start reads it
             with contextlib.suppress(OSError, GenerationError, HostError):
-                self._configure(self.core.running or self.core.lasting.present)
+                self._configure(self.core.running or self.core.durable.present)
         self._execute(self.core.reloaded(process.key, taken, why, time.monotonic()))
 
     # ------------------------------------------------------------ timers
@@ -523,15 +524,15 @@
         """The status of this keeper and its node."""
         core, now = self.core, time.monotonic()
         self.serial += 1
-        order, pid = core.lasting.order, 0
+        order, pid = core.durable.order, 0
         if core.serving is not None and core.serving in self.node_processes:
             pid = self.node_processes[core.serving].handle.pid
         return m.Status(
             self.machine.name, self.machine.site, core.state, core.course.value,
-            core.lasting.present, core.lasting.before, core.trial,
+            core.durable.present, core.durable.before, core.trial,
             order.change if order is not None else "", core.running, core.proved(now),
-            order is not None and order.silence == "hold", core.lasting.deaths, core.restarts, self.fence.epoch,
-            self.fence.step, core.lasting.outcome,
+            order is not None and order.silence == "hold", core.durable.deaths, core.restarts, self.fence.epoch,
+            self.fence.step, core.durable.outcome,
             self.store.names(), self.silent_since < 0 and core.serving is not None,
             min(1e9, now - self.figures_at), self.figures, pid, str(self.identity.get("program", "")),
             str(self.identity.get("settings", "")), bool(self.fetching), self.began, self.serial,
@@ -544,27 +545,27 @@
 
     async def take(self, message: m.Message) -> m.Reply:
         """Handle one message and return the reply.  A command's effect is on disk before the reply is sent."""
-        if isinstance(message, m.Ask):
+        if isinstance(message, m.QueryStatus):
             return m.Reply(True, "", self.status())
-        if isinstance(message, m.Measure):
+        if isinstance(message, m.QueryWork):
             return await self._measure()
         down = self.core.serving is None or self._silent_for() > m.DOWN_S
-        assessment = words.weigh(message, self.machine.name, self.fence, self.core, self.store.has, down)
-        if not isinstance(message, m.Touch) or not assessment.ok:
+        assessment = check_command(message, self.machine.name, self.fence, self.core, self.store.has, down)
+        if not isinstance(message, m.Heartbeat) or not assessment.ok:
             self.events.say("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
                             step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
         now = time.monotonic()
         if assessment.counts:
             before = self.fence
             failpoint("keeper.taken")
-            self.fence = words.take(message, assessment, before, self.core, now, self._save_with_fence)
+            self.fence = apply_command(message, assessment, before, self.core, now, self._save_with_fence)
             if self.fence is before:
                 return m.Reply(False, "the state could not be written to disk", self.status())
             failpoint("keeper.kept")
             self._execute(self.core.advance(now))
             failpoint("keeper.done")
         elif assessment.ok:
-            self.core.heard(message.clock, now)
+            self.core.record_contact(message.clock, now)
         if assessment.ok and isinstance(message, m.Fetch):
             return await self._fetch(message)
         return m.Reply(assessment.ok, assessment.why, self.status())
@@ -602,7 +603,7 @@
         self.fetching = message.generation
         why = ""
         try:
-            wanted = {message.generation, self.core.lasting.present, self.core.lasting.before, self.core.trial,
+            wanted = {message.generation, self.core.durable.present, self.core.durable.before, self.core.trial,
                       *(p.generation for p in self.core.procs.values())}
             await asyncio.to_thread(self.store.remove_others, wanted)
             await asyncio.to_thread(self.store.fetch, Path(message.path), message.generation)
--- a/headspar/keeper/messages.py
+++ b/headspar/keeper/messages.py
@@ -14,7 +14,7 @@
 DOWN_S = 2.0  # a node counts as down after this time without an answer to its keeper; covers several polls
 
 
-class Word(msgspec.Struct, frozen=True, kw_only=True, tag_field="say"):
+class KeeperCommand(msgspec.Struct, frozen=True, kw_only=True, tag_field="say"):
     """Base of a controller's commands.
 
     ``epoch``: fencing token of the controller's lease.  ``clock``: seconds on the clock of the change.  ``node``: the
@@ -26,24 +26,24 @@
     clock: float = 0.0
 
 
-class Touch(Word, frozen=True, tag="touch"):
+class Heartbeat(KeeperCommand, frozen=True, tag="touch"):
     """Heartbeat of the controller; may be repeated."""
 
 
-class Fetch(Word, frozen=True, tag="fetch"):
+class Fetch(KeeperCommand, frozen=True, tag="fetch"):
     """Copy a generation from a path on the keeper's machine."""
 
     generation: str
     path: str
 
 
-class Step(Word, frozen=True):
+class Step(KeeperCommand, frozen=True):
     """A command that changes the keeper's state; ``step``: its sequence number in the controllers' record."""
 
     step: int
 
 
-class Try(Step, frozen=True, tag="try"):
+class StartTrial(Step, frozen=True, tag="try"):
     """Start a trial.  ``down``: only while the node is not serving, since the controller did not count it against
     the limits."""
 
@@ -62,26 +62,26 @@
     """Make the generation on trial the present one."""
 
 
-class Hold(GenerationStep, frozen=True, tag="hold"):
+class PinTrial(GenerationStep, frozen=True, tag="hold"):
     """Pin the trial: from now on it continues while no controller is reachable."""
 
 
-class Back(GenerationStep, frozen=True, tag="back"):
-    """Roll back to a generation, whatever runs; ``down`` as in ``Try``."""
+class RollBack(GenerationStep, frozen=True, tag="back"):
+    """Roll back to a generation, whatever runs; ``down`` as in ``StartTrial``."""
 
     reason: str
     down: bool = False
 
 
-class Ask(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="status"):
+class QueryStatus(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="status"):
     """Query the status.  Needs no lease and does not count as contact with a controller."""
 
 
-class Measure(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="measure"):
+class QueryWork(msgspec.Struct, frozen=True, kw_only=True, tag_field="say", tag="measure"):
     """Query the node's totals since its process started; the reply contains ``Work``.  Needs no lease."""
 
 
-Message = Touch | Fetch | Try | Confirm | Hold | Back | Ask | Measure
+Message = Heartbeat | Fetch | StartTrial | Confirm | PinTrial | RollBack | QueryStatus | QueryWork
 
 
 class Work(msgspec.Struct, frozen=True):
--- a/headspar/keeper/slots.py
+++ b/headspar/keeper/slots.py
@@ -44,8 +44,8 @@
         return None if self.offset is None else now + self.offset
 
 
-def deal(nodes: Sequence[str], sites: Mapping[str, str], maximum: int, maximum_per_site: int, length: float,
-         rng: random.Random) -> dict[str, Slot]:
+def assign_slots(nodes: Sequence[str], sites: Mapping[str, str], maximum: int, maximum_per_site: int, length: float,
+                 rng: random.Random) -> dict[str, Slot]:
     """Assign a slot of ``length`` seconds to each node: at most ``maximum`` nodes per slot and ``maximum_per_site``
     of one site.  Nodes are placed round-robin over the sites, so that a slot contains several sites."""
     order = list(nodes)
--- a/headspar/keeper/state.py
+++ b/headspar/keeper/state.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from headspar.failpoints import failpoint
-from headspar.keeper.core import Lasting
+from headspar.keeper.core import DurableState
 from headspar.keeper.fence import Fence
 
 MAX_STATE_BYTES = 1 << 20
@@ -34,7 +34,7 @@
 class Saved(msgspec.Struct):
     """The content of the state file."""
 
-    lasting: Lasting
+    lasting: DurableState
     fence: Fence
     processes: list[ProcessRecord]
 
--- a/headspar/rollout/cli.py
+++ b/headspar/rollout/cli.py
@@ -28,10 +28,10 @@
 from headspar import failpoints, operator_file
 from headspar.commands import stop, writable
 from headspar.events import Events
-from headspar.keeper.cli import rows
+from headspar.keeper.cli import status_table
 from headspar.keeper.generations import GenerationError, digest
 from headspar.keeper.messages import Status
-from headspar.keeper.slots import deal
+from headspar.keeper.slots import assign_slots
 from headspar.operations.ledger import PER_OCTAVE
 from headspar.operator_file import JudgeTable, Operator, OperatorError, RolloutTable, parse_shares
 from headspar.rollout.fleet import FleetError, Member, load
@@ -108,8 +108,8 @@
         Candidate(m.name, m.site, s.figures.rate if (s := statuses[m.name]) is not None else 0.0) for m in members
     ]
     sites = {m.name: m.site for m in members}
-    slots = deal([m.name for m in members], sites, table.max_out, table.max_out_site, table.slot_s,
-                 random.Random(name))
+    slots = assign_slots([m.name for m in members], sites, table.max_out, table.max_out_site, table.slot_s,
+                         random.Random(name))
     stages = plan_stages(nodes, parse_shares(table.shares) or [1.0])
     objections = []
     if goal == before:
@@ -278,7 +278,7 @@
     if found is not None:
         _print_change(found[0], False)
         print(f"led by {leader}, epoch {epoch}" if leader else f"no controller leads it; last epoch {epoch}")
-    Console().print(rows(statuses))
+    Console().print(status_table(statuses))
 
 
 @app.command()
@@ -305,7 +305,7 @@
             statuses = asyncio.run(ask_all(members))
             change = found[0]
             head = f"change {change.id}: {change.state.value}, stage {change.stage + 1} of {len(change.stages)}"
-            live.update(Group(Text(f"{head} {change.why}"), rows(statuses)))
+            live.update(Group(Text(f"{head} {change.why}"), status_table(statuses)))
             if change.state in OVER:
                 raise typer.Exit(END[change.state])
             time.sleep(seconds)
--- a/headspar/rollout/host.py
+++ b/headspar/rollout/host.py
@@ -45,7 +45,8 @@
     try:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(*parse_address(member.keeper, "keeper"), limit=m.MAX_LINE)
-            failpoint("rollout.sending" if not isinstance(message, m.Ask | m.Touch) else "rollout.hearing")
+            failpoint("rollout.sending" if not isinstance(message, m.QueryStatus | m.Heartbeat)
+                      else "rollout.hearing")
             writer.write(m.encode(message))
             line = await reader.readline()
         return msgspec.json.decode(line, type=m.Reply)
@@ -60,7 +61,7 @@
     """Return the status of each node's keeper; None without an answer."""
     async def one(member: Member) -> m.Status | None:
         try:
-            return (await send(member, m.Ask(), seconds)).status
+            return (await send(member, m.QueryStatus(), seconds)).status
         except OSError:
             return None
 
@@ -80,7 +81,7 @@
     async def measure(member: Member) -> None:
         while True:
             with contextlib.suppress(OSError):
-                record_work(judging, member, await send(member, m.Measure()))
+                record_work(judging, member, await send(member, m.QueryWork()))
             await asyncio.sleep(settings.every_s)
 
     tasks = [asyncio.create_task(measure(member)) for member in members]
@@ -251,7 +252,7 @@
             director = self.director
             try:
                 clock = self.clock() if director is not None else 0.0
-                reply = await send(member, m.Touch(node=member.name, epoch=self.epoch, clock=clock))
+                reply = await send(member, m.Heartbeat(node=member.name, epoch=self.epoch, clock=clock))
                 status = reply.status
                 if status is not None and status.name == member.name:
                     self._raise_epoch(status)
@@ -273,7 +274,7 @@
                 await asyncio.sleep(self.poll_s)
                 continue
             with contextlib.suppress(OSError):
-                record_work(judging, member, await send(member, m.Measure()))
+                record_work(judging, member, await send(member, m.QueryWork()))
             await asyncio.sleep(judging.settings.every_s)
 
     def _raise_epoch(self, status: m.Status) -> None:
--- a/headspar/rollout/rehearsal.py
+++ b/headspar/rollout/rehearsal.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from headspar.keeper import messages as m
-from headspar.keeper import words
-from headspar.keeper.core import Core, Course, Drain, Kill, Lasting, Phase, Reload, Start, Term, Timing
+from headspar.keeper.backoff import BackoffSettings, RestartBackoff
+from headspar.keeper.commands import apply_command, check_command
+from headspar.keeper.core import Core, Course, Drain, DurableState, Kill, Phase, Reload, Start, Term, Timing
 from headspar.keeper.fence import Fence, Verdict
 from headspar.keeper.messages import Figures, Status
-from headspar.keeper.pauses import Pauses, PauseSettings
-from headspar.keeper.slots import deal
+from headspar.keeper.slots import assign_slots
 from headspar.rollout.limits import Limits
 from headspar.rollout.stages import Candidate, plan
 from headspar.rollout.state import (
@@ -69,15 +69,15 @@
         self.fence = Fence()
         self.restarts = 0
         self.core = self._core()
-        self.core.resume(Lasting(present=OLD), [], None, None, world.now)
+        self.core.resume(DurableState(present=OLD), [], None, None, world.now)
         self.cut_until = -1.0
         self.ordered = False  # whether it is moving by command or by the change's rule on silence
         self.goal_starts = 0
         self.epochs: list[tuple[int, int]] = []
 
     def _core(self) -> Core:
-        pauses = Pauses(PauseSettings(), self.rng)
-        return Core(Timing(), pauses, lambda a, b: self.world.settings_only, self._moved)
+        backoff = RestartBackoff(BackoffSettings(), self.rng)
+        return Core(Timing(), backoff, lambda a, b: self.world.settings_only, self._moved)
 
     def _moved(self, table: str, before: str, cause: str, after: str) -> None:
         if table == "course" and cause == "silence":
@@ -120,7 +120,7 @@
         self.do(self.core.ended(key, no_handover, self.world.now))
 
     def _drained(self, key: int) -> None:
-        self.do(self.core.drained_(key, self.world.now))
+        self.do(self.core.drain_finished(key, self.world.now))
 
     def _reloaded(self, key: int) -> None:
         self.do(self.core.reloaded(key, True, "", self.world.now))
@@ -140,37 +140,38 @@
     def restart_keeper(self, lost: bool) -> None:
         """Replace the keeper; the node's processes keep running and the new keeper adopts them."""
         old = self.core
-        lasting = Lasting() if lost else old.lasting
+        durable = DurableState() if lost else old.durable
         if lost:
             self.fence = Fence(self.fence.epoch, self.fence.step)  # the fence is stored in a separate file
             if not old.procs:
-                lasting = Lasting(present=OLD)
+                durable = DurableState(present=OLD)
         self.core = self._core()
         serving = old.serving if old.serving is not None and old.procs[old.serving].ready >= 0 else None
-        self.core.resume(lasting, list(old.procs.values()), serving, old.coming, self.world.now)
+        self.core.resume(durable, list(old.procs.values()), serving, old.starting, self.world.now)
 
     def status(self) -> Status:
-        core, order = self.core, self.core.lasting.order
+        core, order = self.core, self.core.durable.order
         return Status(
-            self.name, self.site, core.state, core.course.value, core.lasting.present, core.lasting.before,
+            self.name, self.site, core.state, core.course.value, core.durable.present, core.durable.before,
             core.trial, order.change if order else "", core.running, core.proved(self.world.now),
-            order is not None and order.silence == "hold", core.lasting.deaths, core.restarts, self.fence.epoch,
-            self.fence.step, core.lasting.outcome, [NEW, OLD], core.serving is not None, 0.0, Figures(), 1, "", "")
+            order is not None and order.silence == "hold", core.durable.deaths, core.restarts, self.fence.epoch,
+            self.fence.step, core.durable.outcome, [NEW, OLD], core.serving is not None, 0.0, Figures(), 1, "", "")
 
-    def take(self, message: m.Word) -> tuple[bool, Status]:
+    def take(self, message: m.KeeperCommand) -> tuple[bool, Status]:
         """Handle a command that has arrived; return whether it was accepted, and the status."""
         now, core = self.world.now, self.core
-        assessment = words.weigh(message, self.name, self.fence, core, lambda generation: True, core.serving is None)
+        assessment = check_command(message, self.name, self.fence, core, lambda generation: True,
+                                   core.serving is None)
         self.world.refused += assessment.verdict in (Verdict.FENCED, Verdict.OLD)
         if assessment.counts:
             if assessment.step:
                 self.epochs.append((message.epoch, assessment.step))
-            if assessment.ok and isinstance(message, m.Try | m.Back):
+            if assessment.ok and isinstance(message, m.StartTrial | m.RollBack):
                 self.ordered |= core.serving is not None  # a node that is down takes no capacity away
-            self.fence = words.take(message, assessment, self.fence, core, now, lambda fence: True)
+            self.fence = apply_command(message, assessment, self.fence, core, now, lambda fence: True)
             self.do(core.advance(now))
         elif assessment.ok:
-            core.heard(message.clock, now)
+            core.record_contact(message.clock, now)
         return assessment.ok, self.status()
 
 
@@ -188,7 +189,7 @@
         self.sites = {n.name: n.site for n in self.nodes.values()}
         ways = RolloutPolicy(limits, proving_s=3.0, settle_s=1.0, ready_s=40.0, lost_s=6.0,
                              silence=faults.silence, silence_s=15.0)  # type: ignore[arg-type]
-        slots = deal(list(self.nodes), self.sites, limits.most, limits.most_of_site, 20.0, self.rng)
+        slots = assign_slots(list(self.nodes), self.sites, limits.most, limits.most_of_site, 20.0, self.rng)
         stages = plan([Candidate(n.name, n.site) for n in self.nodes.values()], [0.2, 1.0])
         self.change = Change("c", NEW, "", OLD, stages, slots, ways)
         self.stored = msgspec.json.encode(self.change)
@@ -211,7 +212,7 @@
         faulty = self.now < f.until
         if self.now < node.cut_until or faulty and rng.random() < f.drop:
             return
-        message: m.Word = m.Touch(node=name, epoch=self.epoch, clock=self.now)
+        message: m.KeeperCommand = m.Heartbeat(node=name, epoch=self.epoch, clock=self.now)
         if command is not None:
             message = command_message(command, self.epoch, self.now, step)
         if faulty and command is not None and rng.random() < f.late:
@@ -222,7 +223,7 @@
         answered = not (faulty and rng.random() < f.lose)
         self._deliver(name, message, step, answered)
 
-    def _deliver(self, name: str, message: m.Word, step: int, answered: bool) -> None:
+    def _deliver(self, name: str, message: m.KeeperCommand, step: int, answered: bool) -> None:
         _, status = self.nodes[name].take(message)
         if answered and message.epoch == self.epoch:
             self.director.receive_status(name, status, self.now)
@@ -314,7 +315,7 @@
 
     def settled(self) -> bool:
         """Return whether every node serves its present generation and none is on trial."""
-        return all(n.core.course is Course.SETTLED and n.core.running == n.core.lasting.present
+        return all(n.core.course is Course.SETTLED and n.core.running == n.core.durable.present
                    for n in self.nodes.values())
 
     def running(self) -> dict[str, int]:
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -141,17 +141,17 @@
     down: bool = False  # valid only while the node serves no requests
 
 
-def command_message(command: Command, epoch: int, clock: float, step: int) -> m.Word:
+def command_message(command: Command, epoch: int, clock: float, step: int) -> m.KeeperCommand:
     """Return the message to the keeper for a command that has an effect (any but a fetch)."""
     head: dict[str, Any] = {"node": command.node, "epoch": epoch, "clock": clock, "step": step}
     if command.say == "try":
         assert command.order is not None
-        return m.Try(order=command.order, down=command.down, **head)
+        return m.StartTrial(order=command.order, down=command.down, **head)
     if command.say == "hold":
-        return m.Hold(generation=command.generation, **head)
+        return m.PinTrial(generation=command.generation, **head)
     if command.say == "confirm":
         return m.Confirm(generation=command.generation, **head)
-    return m.Back(generation=command.generation, reason=command.reason, down=command.down, **head)
+    return m.RollBack(generation=command.generation, reason=command.reason, down=command.down, **head)
 
 
 class Decision(msgspec.Struct):
--- a/tests/keeper/test_core.py
+++ b/tests/keeper/test_core.py
@@ -10,14 +10,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from headspar.keeper.backoff import BackoffSettings, RestartBackoff
 from headspar.keeper.core import (
     COURSES,
     PHASES,
     Core,
     Course,
     Drain,
+    DurableState,
     Kill,
-    Lasting,
     Order,
     Phase,
     Proc,
@@ -27,7 +28,6 @@
     Timing,
     Undrain,
 )
-from headspar.keeper.pauses import Pauses, PauseSettings
 from headspar.keeper.slots import Slot
 
 OLD, NEW, LIKE = "old", "new", "like-old"  # LIKE differs from OLD in settings alone
@@ -39,13 +39,13 @@
     def __init__(self, present: str = OLD, seed: int = 1) -> None:
         self.now = 100.0
         self.transitions: list[tuple[str, str, str, str]] = []
-        pauses = Pauses(PauseSettings(), random.Random(seed))
-        self.core = Core(Timing(), pauses, lambda a, b: {a, b} <= {OLD, LIKE}, self.on_transition)
+        backoff = RestartBackoff(BackoffSettings(), random.Random(seed))
+        self.core = Core(Timing(), backoff, lambda a, b: {a, b} <= {OLD, LIKE}, self.on_transition)
         self.live: dict[int, str] = {}
         self.begun: list[Start] = []
         self.log: list[object] = []
         self.answers = True
-        self.core.resume(Lasting(present=present), [], None, None, self.now)
+        self.core.resume(DurableState(present=present), [], None, None, self.now)
 
     def on_transition(self, table: str, before: str, cause: str, after: str) -> None:
         self.transitions.append((table, before, cause, after))
@@ -64,7 +64,7 @@
             self.do(list(self.core.advance(self.now)))
 
     def ready(self, key: int | None = None) -> None:
-        key = key if key is not None else self.core.coming
+        key = key if key is not None else self.core.starting
         assert key is not None
         self.do(list(self.core.ready(key, self.now)))
 
@@ -91,7 +91,7 @@
         return next(a for a in reversed(self.log) if isinstance(a, kind))
 
     def old_ends(self) -> None:
-        for key in [k for k in self.live if k not in (self.core.serving, self.core.coming)]:
+        for key in [k for k in self.live if k not in (self.core.serving, self.core.starting)]:
             self.end(key)
 
 
@@ -105,10 +105,10 @@
     m.old_ends()
     assert not m.core.proved(m.now)
     m.run(10.1)
-    assert m.core.proved(m.now) and m.core.lasting.present == OLD
+    assert m.core.proved(m.now) and m.core.durable.present == OLD
     assert m.core.confirm()
-    assert (m.core.lasting.present, m.core.lasting.before, m.core.state) == (NEW, OLD, "serving")
-    assert m.core.lasting.outcome is not None and m.core.lasting.outcome.result == "confirmed"
+    assert (m.core.durable.present, m.core.durable.before, m.core.state) == (NEW, OLD, "serving")
+    assert m.core.durable.outcome is not None and m.core.durable.outcome.result == "confirmed"
 
 
 def test_time_in_which_it_does_not_answer_proves_nothing() -> None:
@@ -128,11 +128,11 @@
     m = Harness().serve()
     m.order()
     for _ in range(2):
-        assert m.core.coming is not None
-        m.end(m.core.coming)
+        assert m.core.starting is not None
+        m.end(m.core.starting)
         m.run(1.5)
     assert m.core.running == OLD and m.core.state == "serving" and m.core.course is Course.SETTLED
-    assert m.core.lasting.outcome is not None and "failed to start 2 times" in m.core.lasting.outcome.reason
+    assert m.core.durable.outcome is not None and "failed to start 2 times" in m.core.durable.outcome.reason
     assert not any(isinstance(a, Term | Kill) for a in m.log) and m.core.restarts == 0
 
 
@@ -142,7 +142,7 @@
     m.run(Timing().start + 0.2)
     assert m.last(Kill) == Kill(2)
     m.end(2)
-    assert m.core.lasting.deaths == 1 and m.core.running == OLD
+    assert m.core.durable.deaths == 1 and m.core.running == OLD
 
 
 def test_a_trial_that_dies_twice_goes_back_untold_and_after_proving_it_does_not() -> None:
@@ -182,7 +182,7 @@
     m.order()
     m.end(2, no_handover=True)
     assert m.last(Drain) == Drain(1) and m.core.phase is Phase.DRAINING
-    m.do(list(m.core.drained_(1, m.now)))
+    m.do(list(m.core.drain_finished(1, m.now)))
     assert m.last(Term) == Term(1)
     m.end(1)
     assert m.begun[-1] == Start(3, NEW, False)
@@ -193,7 +193,7 @@
     m.order(restart=False)
     m.end(2, no_handover=True)
     assert m.core.running == OLD and m.core.course is Course.SETTLED
-    assert m.core.lasting.outcome is not None and "no hand-over" in m.core.lasting.outcome.reason
+    assert m.core.durable.outcome is not None and "no hand-over" in m.core.durable.outcome.reason
 
 
 def test_a_drain_is_called_off_when_the_change_is() -> None:
@@ -234,7 +234,7 @@
     m.order(LIKE)
     m.do(list(m.core.reloaded(1, False, "limits", m.now)))
     assert m.core.running == OLD and m.core.course is Course.SETTLED
-    assert m.core.lasting.outcome is not None and "limits" in m.core.lasting.outcome.reason
+    assert m.core.durable.outcome is not None and "limits" in m.core.durable.outcome.reason
 
 
 def test_where_a_start_is_to_be_proven_settings_alone_go_by_a_second_process_too() -> None:
@@ -245,11 +245,11 @@
 
 def test_silence_goes_back_in_its_own_slot_only() -> None:
     m = Harness().serve()
-    m.core.heard(0.0, m.now)
+    m.core.record_contact(0.0, m.now)
     m.order(silence="back", silence_s=5.0, slot=Slot(2, 4, 30.0))
     m.ready()
     m.old_ends()
-    m.core.heard(0.0, m.now)
+    m.core.record_contact(0.0, m.now)
     m.run(59)
     assert m.core.state == "proving"
     m.run(10)
@@ -272,12 +272,12 @@
 
 def test_what_can_not_be_started_is_held_and_tried_on() -> None:
     m = Harness()
-    for _ in range(Timing().hopeless):
-        while m.core.coming is None:
+    for _ in range(Timing().max_failed_starts):
+        while m.core.starting is None:
             m.run(1)
-        m.end(m.core.coming)
+        m.end(m.core.starting)
     assert m.core.state == "held"
-    while m.core.coming is None:
+    while m.core.starting is None:
         m.run(1)
     m.ready()
     assert m.core.state == "serving" and m.core.course is Course.SETTLED
@@ -285,13 +285,13 @@
 
 def test_a_process_of_a_generation_that_the_state_does_not_know_is_on_trial() -> None:
     m = Harness()
-    m.core.resume(Lasting(present=OLD), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
-    assert m.core.state == "proving" and m.core.trial == NEW and m.core.lasting.present == OLD
-    m.core.resume(Lasting(), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
-    assert m.core.state == "serving" and m.core.lasting.present == NEW
-    m.core.resume(Lasting(), [Proc(7, NEW, m.now)], None, 7, m.now)  # still starting
+    m.core.resume(DurableState(present=OLD), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
+    assert m.core.state == "proving" and m.core.trial == NEW and m.core.durable.present == OLD
+    m.core.resume(DurableState(), [Proc(7, NEW, 0.0, 0.0)], 7, None, m.now)
+    assert m.core.state == "serving" and m.core.durable.present == NEW
+    m.core.resume(DurableState(), [Proc(7, NEW, m.now)], None, 7, m.now)  # still starting
     m.ready(7)
-    assert m.core.state == "serving" and m.core.lasting.present == NEW and not any(isinstance(a, Kill) for a in m.log)
+    assert m.core.state == "serving" and m.core.durable.present == NEW and not any(isinstance(a, Kill) for a in m.log)
 
 
 def test_nodes_that_die_together_do_not_start_in_step() -> None:
@@ -321,7 +321,7 @@
     def wait(self, seconds: float) -> None:
         self.m.run(seconds)
 
-    @precondition(lambda self: self.m.core.coming is not None)
+    @precondition(lambda self: self.m.core.starting is not None)
     @rule()
     def says_yes(self) -> None:
         self.m.ready()
@@ -347,7 +347,7 @@
     def is_told_to_confirm(self) -> None:
         trial = self.m.core.trial
         if self.m.core.confirm():
-            assert self.m.core.running == trial == self.m.core.lasting.present
+            assert self.m.core.running == trial == self.m.core.durable.present
 
     @rule(taken=st.booleans())
     def settings_come_back(self, taken: bool) -> None:
@@ -356,7 +356,7 @@
 
     @rule(key=st.integers(1, 9))
     def drained(self, key: int) -> None:
-        self.m.do(list(self.m.core.drained_(key, self.m.now)))
+        self.m.do(list(self.m.core.drain_finished(key, self.m.now)))
 
     @rule(key=st.integers(1, 9))
     def falls_silent(self, key: int) -> None:
@@ -366,14 +366,14 @@
     def keeper_is_killed(self, keep: bool) -> None:
         """A new keeper replaces it, with or without the durable state."""
         core = self.m.core
-        lasting, procs = core.lasting if keep else Lasting(), list(core.procs.values())
+        durable, procs = core.durable if keep else DurableState(), list(core.procs.values())
         fresh = Harness.__new__(Harness)
         fresh.__dict__.update(self.m.__dict__)
-        fresh.core = Core(core.timing, core.pauses, core.only_settings, self.m.on_transition)
+        fresh.core = Core(core.timing, core.backoff, core.only_settings, self.m.on_transition)
         serving = core.serving if core.serving is not None and core.procs[core.serving].ready >= 0 else None
         if not keep and not procs:
-            lasting = Lasting(present=OLD)
-        fresh.core.resume(lasting, procs, serving, core.coming, self.m.now)
+            durable = DurableState(present=OLD)
+        fresh.core.resume(durable, procs, serving, core.starting, self.m.now)
         self.m = fresh
         self.m.do(list(self.m.core.advance(self.m.now)))
 
@@ -387,7 +387,7 @@
             assert serving in core.procs and core.procs[serving].ready >= 0
         else:
             assert serving is None
-        assert (core.coming is not None) == (core.phase in (Phase.STARTING, Phase.BESIDE))
+        assert (core.starting is not None) == (core.phase in (Phase.STARTING, Phase.BESIDE))
 
     @precondition(lambda self: True)
     @rule()
@@ -396,14 +396,14 @@
         for _ in range(400):
             m.run(0.5)
             core = m.core
-            if core.coming is not None and not core.procs[core.coming].killed:
+            if core.starting is not None and not core.procs[core.starting].killed:
                 m.ready()
             for key in [k for k, p in core.procs.items() if p.killed or p.terminated_at >= 0]:
                 m.end(key)
             if core.phase is Phase.RELOADING and core.serving is not None:
                 m.do(list(core.reloaded(core.serving, True, "", m.now)))
             if core.phase is Phase.DRAINING and core.serving is not None:
-                m.do(list(core.drained_(core.serving, m.now)))
+                m.do(list(core.drain_finished(core.serving, m.now)))
             if core.running == core.wanted and core.course in (Course.SETTLED, Course.PROVING):
                 return
         raise AssertionError((core.phase, core.course, core.running, core.wanted, m.transitions[-10:]))
--- a/tests/keeper/test_parts.py
+++ b/tests/keeper/test_parts.py
@@ -17,12 +17,12 @@
 
 from headspar import failpoints
 from headspar.identity import boot_id, start_ticks, tree_digest
-from headspar.keeper.core import Course, Lasting, Order, Outcome
+from headspar.keeper.backoff import BackoffSettings, RestartBackoff
+from headspar.keeper.core import Course, DurableState, Order, Outcome
 from headspar.keeper.fence import Fence, Verdict
 from headspar.keeper.generations import GenerationError, Store, digest
-from headspar.keeper.pauses import Pauses, PauseSettings
 from headspar.keeper.processes import Handle
-from headspar.keeper.slots import Clock, Slot, deal
+from headspar.keeper.slots import Clock, Slot, assign_slots
 from headspar.keeper.state import ProcessRecord, Saved, StateError, StateFile, decode, encode
 from tests.loopback import PATIENCE
 
@@ -51,10 +51,10 @@
 
 
 def test_pauses_grow_to_a_ceiling_and_long_health_forgets() -> None:
-    pauses = Pauses(PauseSettings(1.0, 8.0, 0.5, 60.0), random.Random(1))
-    delays = [pauses.restart_delay(1.0) for _ in range(8)]
+    backoff = RestartBackoff(BackoffSettings(1.0, 8.0, 0.5, 60.0), random.Random(1))
+    delays = [backoff.restart_delay(1.0) for _ in range(8)]
     assert delays[0] <= 0.5 and all(x <= 8.0 for x in delays) and max(delays[5:]) > 4.0
-    assert pauses.restart_delay(61.0) <= 0.5
+    assert backoff.restart_delay(61.0) <= 0.5
 
 
 @given(st.integers(1, 300), st.integers(1, 6), st.integers(1, 9), st.integers(1, 4), st.integers(0, 99))
@@ -62,7 +62,7 @@
 def test_slots_hold_no_more_than_the_limits(count: int, sites: int, maximum: int, per_site: int, seed: int) -> None:
     nodes = [f"n{i}" for i in range(count)]
     site = {n: f"s{i % sites}" for i, n in enumerate(nodes)}
-    slots = deal(nodes, site, maximum, per_site, 30.0, random.Random(seed))
+    slots = assign_slots(nodes, site, maximum, per_site, 30.0, random.Random(seed))
     assert set(slots) == set(nodes)
     total = next(iter(slots.values())).count
     for at in range(total * 30):
@@ -145,8 +145,8 @@
 
 def saved(epoch: int = 3) -> Saved:
     order = Order("c", "g", 5.0, slot=Slot(1, 2, 30.0))
-    lasting = Lasting("p", "b", order, Course.PROVING, 1, Outcome("c", "g", "back", "why"))
-    return Saved(lasting, Fence(epoch, 7, {"ok": True}),
+    durable = DurableState("p", "b", order, Course.PROVING, 1, Outcome("c", "g", "back", "why"))
+    return Saved(durable, Fence(epoch, 7, {"ok": True}),
                  [ProcessRecord(12, 34, "boot", "g", "127.0.0.1:1", "serving", True)])
 
 
--- a/tests/rollout/runs.py
+++ b/tests/rollout/runs.py
@@ -162,7 +162,7 @@
     """Return a keeper's status over a direct connection, which bypasses the faults of its link."""
     keeper = run.keepers[name]
     try:
-        return (await send(Member(name, "", f"{keeper.listen[0]}:{keeper.listen[1]}"), m.Ask())).status
+        return (await send(Member(name, "", f"{keeper.listen[0]}:{keeper.listen[1]}"), m.QueryStatus())).status
     except OSError:
         return None
 
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -253,7 +253,7 @@
         await send(member, m.Fetch(node="n1", epoch=90, generation=run.generations["turned-down"],
                                    path=str(run.dir / "sources" / "turned-down")), 30.0)
         order = Order("by-hand", run.generations["turned-down"], 1.0)
-        assert (await send(member, m.Try(node="n1", epoch=90, step=9000, order=order))).ok
+        assert (await send(member, m.StartTrial(node="n1", epoch=90, step=9000, order=order))).ok
         await until(lambda: _turned_down(run))
         assert await settled(run, "limits")
         folder = run.generation("after", new_line)
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -113,7 +113,7 @@
         self.silent, self.since = silent, time.monotonic()
 
     async def answer(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert isinstance(m.decode(await reader.readline()), m.Measure)
+        assert isinstance(m.decode(await reader.readline()), m.QueryWork)
         up = 100.0 + time.monotonic() - self.since
         taken = 100.0 * up
         counts = {"taken": taken, "in_time": 0.97 * taken, "late": 0.01 * taken, "refused": 0.02 * taken,
