--- a/headspar/cli.py
+++ b/headspar/cli.py
@@ -18,8 +18,8 @@
 
 from headspar import comeback_report as cr
 from headspar import operator_file
+from headspar.commands import check_output_folders, error_exit, scenario_names
 from headspar.commands import scenario as scenario_of
-from headspar.commands import scenario_names, stop, writable
 from headspar.events import table as events_table
 from headspar.fleet import cli as fleet_cli
 from headspar.keeper import cli as keeper_cli
@@ -59,11 +59,11 @@
         with tempfile.TemporaryDirectory(prefix="headspar-lab-") as dir:
             return run_scenario(s, seed, Path(dir), on_progress)
     except RunError as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
     except OSError as error:
-        raise stop(f"{error.filename or 'run'}: {error.strerror or error}", 4) from None
+        raise error_exit(f"{error.filename or 'run'}: {error.strerror or error}", 4) from None
     except KeyboardInterrupt:
-        raise stop("interrupted; nothing is left running", 130) from None
+        raise error_exit("interrupted; nothing is left running", 130) from None
 
 
 def _end(result: Result, json_to: Path | None, report_to: Path | None, picture_to: Path | None) -> None:
@@ -86,7 +86,7 @@
     try:
         operator = operator_file.load(file)
     except operator_file.OperatorError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     for name, value, default in operator_file.rows(operator):
         print(f"{name} = {value}" + ("" if value == default else f"  (default {default})"))
 
@@ -114,8 +114,8 @@
     """Run a scenario through real nodes and judge it."""
     s = scenario_of(scenario, nodes)
     if record and keep is None:
-        raise stop("--record: needs --keep DIR, where the records go", 2)
-    writable(json_to, report_to, picture_to, keep)
+        raise error_exit("--record: needs --keep DIR, where the records go", 2)
+    check_output_folders(json_to, report_to, picture_to, keep)
     console = Console(stderr=str(json_to) == "-")
     if s.length_s < PROGRESS_FROM_S:
         result = _run(s, seed, keep, None, record)
@@ -143,7 +143,7 @@
 ) -> None:
     """Strike most nodes of a fleet of processes; time to full service, what held it up, stampedes, stale decisions.
     Each seed is played twice: with nothing done to nodes, and with it."""
-    writable(keep)
+    check_output_folders(keep)
 
     def play(s: Scenario, seed: int) -> cr.Drawn:
         results = []
@@ -153,7 +153,7 @@
                 try:
                     results.append(run_scenario(s, seed, to, struck=struck))
                 except RunError as error:
-                    raise stop(str(error), 4) from None
+                    raise error_exit(str(error), 4) from None
         without, result = results
         c = comeback(result.recording, without.recording, s.discovery.calls_per_s)
         return cr.Drawn(seed, c, result.verdict, result.service.whole, without.service.whole)
@@ -178,11 +178,11 @@
 ) -> None:
     """Draw what a node believed of its servers, beside what was true where the lab's records lie by it."""
     to = picture_to if picture_to is not None else file.with_name(file.name + ".png")
-    writable(to)
+    check_output_folders(to)
     try:
         name, rows, recording = explain.load(file)
     except explain.ExplainError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     explain.text(name, rows, Console())
     to.write_bytes(explain.picture(name, rows, recording))
     print(f"picture: {to}")
@@ -202,7 +202,7 @@
 ) -> None:
     """Three nodes, nine cash servers, the due-date queue with 23% of the servers dying together."""
     s = scenario_of("due-date", None)
-    writable(json_to, report_to, picture_to, keep)
+    check_output_folders(json_to, report_to, picture_to, keep)
     console = Console(stderr=str(json_to) == "-")
     before: dict[str, Any] = {}
     with Live(console=console, refresh_per_second=4, transient=True) as screen:
--- a/headspar/comeback_report.py
+++ b/headspar/comeback_report.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.world.audit import Verdict
 from headspar.world.comeback import CAUSES, Comeback, Spread, Summary, summary
 from headspar.world.comebacks import Blow, scenario
@@ -53,7 +53,7 @@
 def blow(kind: str, **fields: Any) -> Blow:
     """From the options; exit status 2 for a kind that there is not."""
     if kind not in KINDS:
-        raise stop(f"--kind: one of {', '.join(KINDS)}, not {kind!r}", 2)
+        raise error_exit(f"--kind: one of {', '.join(KINDS)}, not {kind!r}", 2)
     return Blow(kind=KINDS[kind], **fields)
 
 
@@ -64,7 +64,7 @@
         try:
             s = scenario(of, seed)
         except ScenarioError as error:
-            raise stop(str(error), 2) from None
+            raise error_exit(str(error), 2) from None
         out.append(play(s, seed))
         c = out[-1].comeback
         full = "never" if c.full_s is None else f"{c.full_s:.1f} s"
@@ -180,7 +180,7 @@
 
 def whole(of: Blow, seeds: range, play: Play, json_to: Path | None, picture_to: Path | None) -> None:
     """A command's course.  Exit status 0: every rule kept; 1: one broken; 3: a run that can't be vouched for."""
-    writable(json_to, picture_to)
+    check_output_folders(json_to, picture_to)
     console = Console(stderr=str(json_to) == "-")
     rows = draws(of, seeds, play, console)
     s = text(rows, of, console)
--- a/headspar/commands.py
+++ b/headspar/commands.py
@@ -12,7 +12,7 @@
 from headspar.world.scenario import Scenario, ScenarioError, check, load
 
 
-def stop(text: str, status: int) -> typer.Exit:
+def error_exit(text: str, status: int) -> typer.Exit:
     """Print one line to standard error and return the exception to raise, with this exit status."""
     print(f"headspar: {' '.join(text.split())}", file=sys.stderr)
     return typer.Exit(status)
@@ -36,11 +36,11 @@
         return s
     except ScenarioError as error:
         text = str(error)
-        raise stop(text if text.startswith(name) else f"{name}: {text}", 2) from None
+        raise error_exit(text if text.startswith(name) else f"{name}: {text}", 2) from None
 
 
-def writable(*paths: Path | None) -> None:
+def check_output_folders(*paths: Path | None) -> None:
     """Check before a long run that the folders of its output files exist; exits with status 2 otherwise."""
     for path in paths:
         if path is not None and str(path) != "-" and not path.absolute().parent.is_dir():
-            raise stop(f"{path}: there is no such folder", 2)
+            raise error_exit(f"{path}: there is no such folder", 2)
--- a/headspar/events.py
+++ b/headspar/events.py
@@ -50,8 +50,8 @@
 
 
 class Events:
-    """Writes a process's events to a stream (default: standard error).  ``say`` raises ``KeyError`` for an event or a
-    set of fields that is not in the table."""
+    """Writes a process's events to a stream (default: standard error).  ``emit`` raises ``KeyError`` for an event or
+    a set of fields that is not in the table."""
 
     def __init__(self, stream: TextIO | None = None) -> None:
         self._log: Any = structlog.wrap_logger(
@@ -60,7 +60,7 @@
                         structlog.processors.JSONRenderer()],
         )
 
-    def say(self, event: str, **fields: Any) -> None:
+    def emit(self, event: str, **fields: Any) -> None:
         schema = EVENTS[event][1]
         if fields.keys() != schema.keys():
             raise KeyError(f"{event}: missing or unknown fields {sorted(fields.keys() ^ schema.keys())}")
--- a/headspar/fleet/cli.py
+++ b/headspar/fleet/cli.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.fleet.count import Count, CountError, Counting
 from headspar.recorder.file import lines, older
 from headspar.recorder.line import LineError, Reader
@@ -89,16 +89,16 @@
 ) -> None:
     """Count over a fleet from its nodes' flight records: time to full service, peaks, what happened each second.
     Exit status 2, with one line, for a file that is none."""
-    writable(json_to)
+    check_output_folders(json_to)
     counting = Counting()
     try:
         for path in logs:
             read_into(counting, path)
         result = counting.count()
     except OSError as error:
-        raise stop(f"{error.filename}: {error.strerror}", 2) from None
+        raise error_exit(f"{error.filename}: {error.strerror}", 2) from None
     except (LineError, CountError) as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     data = msgspec.json.encode(result)
     if str(json_to) == "-":
         print(data.decode())
--- a/headspar/keeper/cli.py
+++ b/headspar/keeper/cli.py
@@ -17,7 +17,7 @@
 from rich.table import Table
 
 from headspar import operator_file
-from headspar.commands import stop
+from headspar.commands import error_exit
 from headspar.identity import PACKAGE, SKIPPED
 from headspar.keeper import __main__ as keeper_main
 from headspar.keeper.generations import GenerationError, digest
@@ -33,7 +33,7 @@
     try:
         return keeper_main.table_of(file)
     except OperatorError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
 
 
 @app.command()
@@ -71,7 +71,7 @@
     table = table_of(file)
     found = asyncio.run(ask_all([Member("here", "", table.listen)]))["here"]
     if found is None:
-        raise stop(f"{table.listen}: no keeper answers", 1)
+        raise error_exit(f"{table.listen}: no keeper answers", 1)
     if as_json:
         sys.stdout.write(msgspec.json.encode(found).decode() + "\n")
     else:
@@ -87,7 +87,7 @@
 ) -> None:
     """Create the folder of a generation and print the generation's name."""
     if to.exists():
-        raise stop(f"{to}: already exists", 2)
+        raise error_exit(f"{to}: already exists", 2)
     try:
         if operator is not None:
             operator_file.load(operator)
@@ -98,7 +98,7 @@
         print(digest(to))
     except (OperatorError, GenerationError) as error:
         shutil.rmtree(to, ignore_errors=True)
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     except OSError as error:
         shutil.rmtree(to, ignore_errors=True)
-        raise stop(f"{error.filename}: {error.strerror}", 2) from None
+        raise error_exit(f"{error.filename}: {error.strerror}", 2) from None
--- a/headspar/keeper/host.py
+++ b/headspar/keeper/host.py
@@ -155,10 +155,10 @@
         server.close()
         for task in list(self.tasks):
             task.cancel()
-        self.events.say("keeper.stopped", name=self.machine.name)
+        self.events.emit("keeper.stopped", name=self.machine.name)
 
     def _log_transition(self, table: str, before: str, cause: str, after: str) -> None:
-        self.events.say("keeper.moved", table=table, before=before, cause=cause, after=after)
+        self.events.emit("keeper.moved", table=table, before=before, cause=cause, after=after)
 
     async def _recover(self) -> None:
         """Continue from the state on disk and from the identity that the node reports."""
@@ -167,7 +167,7 @@
         try:
             saved = self.state.read()
         except StateError as error:
-            self.events.say("keeper.state_lost", why=str(error))
+            self.events.emit("keeper.state_lost", why=str(error))
         epoch, step = self.state.read_fence()
         durable = saved.lasting if saved is not None else DurableState()
         self.fence = saved.fence if saved is not None else Fence()
@@ -189,9 +189,9 @@
             handle = Handle.find(k.pid, k.started, k.boot)
             if isinstance(handle, str):
                 if handle != "gone":
-                    self.events.say("keeper.not_ours", pid=k.pid, why=handle)
+                    self.events.emit("keeper.not_ours", pid=k.pid, why=handle)
                 continue
-            self.events.say("keeper.process_found", pid=k.pid, generation=k.generation, ready=k.ready)
+            self.events.emit("keeper.process_found", pid=k.pid, generation=k.generation, ready=k.ready)
             process = NodeProcess(number, handle, k.generation, k.ops)
             self.node_processes[number] = process
             procs.append(Proc(number, k.generation, now, now if k.ready else -1.0))
@@ -207,7 +207,7 @@
         if starting is not None:
             self._spawn(self._wait_until_ready(self.node_processes[starting]))
         self.core.resume(durable, procs, serving, starting, now)
-        self.events.say("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
+        self.events.emit("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
                         state=self.core.state)
         self._execute(self.core.advance(now))
 
@@ -288,7 +288,7 @@
             failpoint("keeper.acted")
 
     def _signal(self, process: NodeProcess, number: signal.Signals) -> None:
-        self.events.say("keeper.signalled", pid=process.handle.pid, signal=number.name)
+        self.events.emit("keeper.signalled", pid=process.handle.pid, signal=number.name)
         process.handle.signal(number)
 
     def _saved(self) -> Saved:
@@ -308,7 +308,7 @@
             self.state.write(self._saved())
         except OSError as error:
             if not self.disk_failed:
-                self.events.say("keeper.disk", what="state", why=error.strerror or str(error))
+                self.events.emit("keeper.disk", what="state", why=error.strerror or str(error))
             self.disk_failed = True
             return False
         self.disk_failed = False
@@ -357,7 +357,7 @@
             env = self._environment(action.generation, ops, action.beside)
             handle = processes.prepare([sys.executable, "-m", "headspar"], env, self.folder / "run", log)
         except (OSError, GenerationError, HostError) as error:
-            self.events.say("keeper.disk", what="start", why=str(error))
+            self.events.emit("keeper.disk", what="start", why=str(error))
             asyncio.get_running_loop().call_soon(self._ended, action.key, 1, now)
             return
         process = NodeProcess(action.key, handle, action.generation, ops)
@@ -365,7 +365,7 @@
         failpoint("keeper.spawned")
         self._save()
         processes.release(handle)
-        self.events.say("keeper.process_started", pid=handle.pid, generation=action.generation, beside=action.beside)
+        self.events.emit("keeper.process_started", pid=handle.pid, generation=action.generation, beside=action.beside)
         self._watch(process)
         process.task = self._spawn(self._wait_until_ready(process))
 
@@ -380,7 +380,7 @@
         if process.task is not None:
             process.task.cancel()
         self.node_processes.pop(process.key, None)
-        self.events.say("keeper.process_ended", pid=process.handle.pid, generation=process.generation, status=status)
+        self.events.emit("keeper.process_ended", pid=process.handle.pid, generation=process.generation, status=status)
         self._ended(process.key, status, time.monotonic())
 
     def _ended(self, key: int, status: int, now: float) -> None:
@@ -435,7 +435,7 @@
                 await asyncio.sleep(READINESS_POLL_S)
         except (OSError, GenerationError, HostError, KeyError, ValueError) as error:
             why = str(error)
-        self.events.say("keeper.settings", generation=generation, taken=taken, why="" if taken else why)
+        self.events.emit("keeper.settings", generation=generation, taken=taken, why="" if taken else why)
         if not taken:  # the file must contain the settings in force, since the next start reads it
             with contextlib.suppress(OSError, GenerationError, HostError):
                 self._configure(self.core.running or self.core.durable.present)
@@ -479,7 +479,7 @@
         elif self.silent_since < 0:
             self.silent_since = now
         elif now - self.silent_since > UNRESPONSIVE_S and key == self.core.serving:
-            self.events.say("keeper.silent", pid=process.handle.pid, seconds=now - self.silent_since)
+            self.events.emit("keeper.silent", pid=process.handle.pid, seconds=now - self.silent_since)
             self._execute(self.core.unresponsive(key, now))
 
     def _update_figures(self, stats: dict[str, Any], pid: int) -> None:
@@ -552,7 +552,7 @@
         down = self.core.serving is None or self._silent_for() > m.DOWN_S
         assessment = check_command(message, self.machine.name, self.fence, self.core, self.store.has, down)
         if not isinstance(message, m.Heartbeat) or not assessment.ok:
-            self.events.say("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
+            self.events.emit("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
                             step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
         now = time.monotonic()
         if assessment.counts:
@@ -611,5 +611,5 @@
             why = str(error)
         finally:
             self.fetching = ""
-        self.events.say("keeper.fetched", generation=message.generation, taken=not why, why=why)
+        self.events.emit("keeper.fetched", generation=message.generation, taken=not why, why=why)
         return m.Reply(not why, why, self.status())
--- a/headspar/model/cli.py
+++ b/headspar/model/cli.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from headspar import comeback_report as cr
-from headspar.commands import scenario, stop, writable
+from headspar.commands import check_output_folders, error_exit, scenario
 from headspar.model.costs import Costs
 from headspar.model.figures import LESS_IS_BETTER, of_run
 from headspar.model.results import CACHE, Store
@@ -44,9 +44,9 @@
     try:
         return msgspec.json.decode(path.read_bytes(), type=Costs)
     except OSError as error:
-        raise stop(f"{path}: {error.strerror}", 2) from None
+        raise error_exit(f"{path}: {error.strerror}", 2) from None
     except (msgspec.MsgspecError, ValueError) as error:
-        raise stop(f"{path}: {error}", 2) from None
+        raise error_exit(f"{path}: {error}", 2) from None
 
 
 def _write(path: Path | None, data: bytes) -> None:
@@ -64,13 +64,13 @@
     seed: Annotated[int, typer.Option(min=0)] = 1, costs_: CostsOption = None, json_to: JsonOption = None,
 ) -> None:
     """One run of this program in simulated time, judged by the four rules."""
-    writable(json_to)
+    check_output_folders(json_to)
     s, cost = scenario(scenario_), costs(costs_)
     began = time.perf_counter()
     try:
         result = simulate(s, seed, Tuning(), cost)
     except TuningError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     took = time.perf_counter() - began
     v = result.verdict
     figures = of_run(result.recording, v, result.service)
@@ -107,7 +107,7 @@
             without = simulate(s, seed, costs=cost, plan=unstruck(plan))
             result = simulate(s, seed, costs=cost, plan=plan)
         except TuningError as error:
-            raise stop(str(error), 2) from None
+            raise error_exit(str(error), 2) from None
         c = comeback(result.recording, without.recording, s.discovery.calls_per_s)
         return cr.Drawn(seed, c, result.verdict, result.service.whole, without.service.whole)
 
@@ -135,9 +135,9 @@
     try:
         looks = [int(x) for x in text.split(",")]
     except ValueError:
-        raise stop(f"--looks: needs whole numbers with commas, not {text!r}", 2) from None
+        raise error_exit(f"--looks: needs whole numbers with commas, not {text!r}", 2) from None
     if looks[0] < 2 or any(b <= a for a, b in zip(looks, looks[1:], strict=False)) or looks[-1] > 1000:
-        raise stop("--looks: must rise, from 2 up to 1000", 2)
+        raise error_exit("--looks: must rise, from 2 up to 1000", 2)
     return looks
 
 
@@ -159,15 +159,15 @@
     from headspar.model.compare import Comparing  # scipy takes half a second that other commands need not wait
     from headspar.model.statistics import Word
 
-    writable(json_to)
+    check_output_folders(json_to)
     s, cost, planned = scenario(scenario_), costs(costs_), _looks(looks)
     try:
         store = Store(results)
         versions = [resolve(name, results) for name in (a, b)]
     except VersionError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     except OSError as error:
-        raise stop(f"--results: {results}: {error.strerror}", 2) from None
+        raise error_exit(f"--results: {results}: {error.strerror}", 2) from None
     columns = (TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total} runs"),
                TimeRemainingColumn())
     with Progress(*columns, console=Console(stderr=True)) as progress:
@@ -198,9 +198,9 @@
     try:
         found = range(int(first), int(last if dots else first) + 1)
     except ValueError:
-        raise stop(f"--seeds: needs A..B or one seed, not {text!r}", 2) from None
+        raise error_exit(f"--seeds: needs A..B or one seed, not {text!r}", 2) from None
     if not 1 <= len(found) <= 1000 or found[0] < 0:
-        raise stop(f"--seeds: needs 1 to 1000 seeds that rise, not {text!r}", 2)
+        raise error_exit(f"--seeds: needs 1 to 1000 seeds that rise, not {text!r}", 2)
     return found
 
 
@@ -210,7 +210,7 @@
     found = text.split(",") if text else [name for name in DAYS if name != "soak"]
     for name in found:
         if name not in DAYS:
-            raise stop(f"--days: {name!r} is none of {', '.join(DAYS)}", 2)
+            raise error_exit(f"--days: {name!r} is none of {', '.join(DAYS)}", 2)
     return list(dict.fromkeys(found))
 
 
@@ -233,15 +233,15 @@
     from headspar.model.references import NAMES
 
     names, range_, cost = _days(days), _seeds(seeds), costs(costs_)
-    writable(json_to)
+    check_output_folders(json_to)
     if shrink:
-        writable(shrunk)
+        check_output_folders(shrunk)
     try:
         runs = Runs(resolve(version, results), Store(results), workers, cost)
     except VersionError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     except OSError as error:
-        raise stop(f"--results: {results}: {error.strerror}", 2) from None
+        raise error_exit(f"--results: {results}: {error.strerror}", 2) from None
     console = Console(stderr=True)
     with Progress(TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total} draws"),
                   TimeRemainingColumn(), console=console) as progress:
@@ -318,18 +318,18 @@
     from headspar.model.calibrate import CalibrationError, fit, residuals
     from headspar.world.records import decode
 
-    writable(out)
+    check_output_folders(out)
     s, told = scenario(scenario_), costs(costs_)
     try:
         recording = decode(truth.read_bytes())
         found = fit([recording], told)
     except OSError as error:
-        raise stop(f"{truth}: {error.strerror}", 2) from None
+        raise error_exit(f"{truth}: {error.strerror}", 2) from None
     except (msgspec.MsgspecError, CalibrationError) as error:
-        raise stop(f"{truth}: {error}", 2) from None
+        raise error_exit(f"{truth}: {error}", 2) from None
     model = simulate(s, seed, Tuning(), found).recording
     if len(model.rules.calls) != len(recording.rules.calls):
-        raise stop(f"{truth}: is not of this scenario and seed", 2)
+        raise error_exit(f"{truth}: is not of this scenario and seed", 2)
     rows = Table(title=f"{s.name}, seed {seed}: the lab and the model")
     for name in ("", "lab", "model", "off"):
         rows.add_column(name, justify="left" if not name else "right")
@@ -349,7 +349,7 @@
     """Where the service of one more run of this scenario and seed will lie."""
     from headspar.model.calibrate import predict as predicted
 
-    writable(json_to)
+    check_output_folders(json_to)
     s, cost = scenario(scenario_), costs(costs_)
     found: dict[str, list[float]] = {}
     with Progress(TextColumn("{task.description}"), BarColumn(), TimeRemainingColumn(),
@@ -357,7 +357,7 @@
         for i in progress.track(range(runs), description=s.name):
             result = simulate(s, seed, Tuning(), cost, noise=i)
             if not result.verdict.clean:
-                raise stop(f"run {i} of the model does not count: {'; '.join(result.verdict.kinds)}", 2)
+                raise error_exit(f"run {i} of the model does not count: {'; '.join(result.verdict.kinds)}", 2)
             for name, value in of_run(result.recording, result.verdict, result.service).items():
                 found.setdefault(name, []).append(value)
     rows = Table(title=f"{s.name}, seed {seed}: {level:.0%} of runs lie within")
--- a/headspar/rollout/cli.py
+++ b/headspar/rollout/cli.py
@@ -26,7 +26,7 @@
 from rich.text import Text
 
 from headspar import failpoints, operator_file
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.events import Events
 from headspar.keeper.cli import status_table
 from headspar.keeper.generations import GenerationError, digest
@@ -60,13 +60,13 @@
         table = operator.rollout
         for name in ("record", "fleet"):
             if not getattr(table, name):
-                raise stop(f"{file}: rollout.{name}: not set", 2)
+                raise error_exit(f"{file}: rollout.{name}: not set", 2)
         failpoints.arm(os.environ)
         return operator, load(Path(table.fleet)), Record(Path(table.record))
     except (OperatorError, FleetError, failpoints.FailpointError) as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     except RecordError as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
 
 
 def judge_settings(table: JudgeTable, lost_s: float) -> Judged:
@@ -101,7 +101,7 @@
     try:
         goal = digest(folder)
     except GenerationError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     present = [s.present for s in statuses.values() if s is not None and s.present]
     before = max(set(present), key=present.count) if present else ""
     nodes = [
@@ -156,7 +156,7 @@
     if watch:
         powers, reason = asyncio.run(observe_fleet(members, replace(change.ways.judge, watch_s=watch), change))
         if reason:
-            raise stop(f"--watch: {reason}", 1)
+            raise error_exit(f"--watch: {reason}", 1)
     if as_json:
         print_json({"change": change, "against": objections, "powers": powers})
     else:
@@ -181,14 +181,14 @@
     if objections and not anyway or not yes:
         Console(stderr=as_json).print(show_plan(change, objections, statuses))
         if objections and not anyway:
-            raise stop("not started; --anyway starts it despite the objections", 1)
-        raise stop("nothing done; --yes does it", 0)
+            raise error_exit("not started; --anyway starts it despite the objections", 1)
+        raise error_exit("nothing done; --yes does it", 0)
     try:
         record.create(change, time.time())
     except Busy as error:
-        raise stop(str(error), 1) from None
+        raise error_exit(str(error), 1) from None
     except OSError as error:
-        raise stop(f"{table.record}: {error.strerror}", 4) from None
+        raise error_exit(f"{table.record}: {error.strerror}", 4) from None
     _lead(table, members, record, stay, as_json)
 
 
@@ -214,14 +214,14 @@
             live.start()
         change = asyncio.run(controller.run())
     except Fenced as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
     except OSError as error:
-        raise stop(f"{error.filename or table.record}: {error.strerror or error}", 4) from None
+        raise error_exit(f"{error.filename or table.record}: {error.strerror or error}", 4) from None
     finally:
         if live is not None:
             live.stop()
     if change is None:
-        raise stop("there is no change", 1)
+        raise error_exit("there is no change", 1)
     _print_change(change, as_json)
     raise typer.Exit(END.get(change.state, 0))
 
@@ -299,7 +299,7 @@
             raise typer.Exit(END[change.state])
         time.sleep(seconds)
     if as_json:
-        raise stop("there is no change", 1)
+        raise error_exit("there is no change", 1)
     with Live(refresh_per_second=4) as live:
         while (found := record.latest()) is not None:
             statuses = asyncio.run(ask_all(members))
@@ -309,16 +309,16 @@
             if change.state in OVER:
                 raise typer.Exit(END[change.state])
             time.sleep(seconds)
-    raise stop("there is no change", 1)
+    raise error_exit("there is no change", 1)
 
 
 def _request(file: Path, what: str, yes: bool, as_json: bool) -> None:
     _, _, record = setup(file)
     found = record.latest()
     if found is None or found[0].state in OVER:
-        raise stop("no change is under way", 1)
+        raise error_exit("no change is under way", 1)
     if not yes:
-        raise stop(f"nothing done; --yes asks the controller to {what} change {found[0].id!r}", 0)
+        raise error_exit(f"nothing done; --yes asks the controller to {what} change {found[0].id!r}", 0)
     by = f"{os.environ.get('USER', 'uid')} {os.getuid()}"
     record.request(found[0].id, what, by, time.time())
     holder, _, until = record.holder()
@@ -363,15 +363,15 @@
     """Write an HTML page about a change: its stages over time, the looks of the judge, and the transitions."""
     from headspar.rollout.report import collect, page  # its libraries take a second to load
 
-    writable(out)
+    check_output_folders(out)
     _, _, record = setup(file)
     found = collect(record, name)
     if found is None:
-        raise stop(f"there has been no change {name!r}", 1)
+        raise error_exit(f"there has been no change {name!r}", 1)
     try:
         out.write_text(page(found))
     except OSError as error:
-        raise stop(f"{out}: {error.strerror}", 2) from None
+        raise error_exit(f"{out}: {error.strerror}", 2) from None
 
 
 @app.command()
@@ -394,7 +394,7 @@
     moves, steps, looks = record.moves(name), record.steps(name), record.looks(name)
     powers = record.powers(name)
     if not moves and not steps:
-        raise stop(f"there has been no change {name!r}", 1)
+        raise error_exit(f"there has been no change {name!r}", 1)
     if as_json:
         print_json({"moves": moves, "steps": steps, "looks": looks, "powers": powers})
         return
--- a/headspar/rollout/host.py
+++ b/headspar/rollout/host.py
@@ -155,7 +155,7 @@
             except Fenced as error:
                 if not self.standby or self.stop_requested:
                     raise
-                self.events.say("rollout.fenced", holder=self.holder, epoch=self.epoch, why=str(error))
+                self.events.emit("rollout.fenced", holder=self.holder, epoch=self.epoch, why=str(error))
                 self._reset()
 
     def _request_stop(self) -> None:
@@ -173,7 +173,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)  # no command goes out after the release
             self.record.release(self.epoch)
-            self.events.say("rollout.lease", holder=self.holder, epoch=self.epoch, held=False)
+            self.events.emit("rollout.lease", holder=self.holder, epoch=self.epoch, held=False)
         return self.director.change if self.director is not None else None
 
     async def _acquire(self) -> bool:
@@ -182,7 +182,7 @@
             epoch = self.record.acquire(self.holder, now, self.lease_s)
             if epoch is not None:
                 self.epoch, self.renewed = epoch, now
-                self.events.say("rollout.lease", holder=self.holder, epoch=epoch, held=True)
+                self.events.emit("rollout.lease", holder=self.holder, epoch=epoch, held=True)
                 return True
             await self._sleep(min(1.0, self.lease_s / 10))
         return False
@@ -333,7 +333,7 @@
         self.record.keep_before(self.epoch, change.id, before, powers, time.time())
         for p in powers:
             if not p.enough:
-                self.events.say("rollout.power", change=change.id, stage=p.stage, figure=p.figure, margin=p.margin,
+                self.events.emit("rollout.power", change=change.id, stage=p.stage, figure=p.figure, margin=p.margin,
                                 least=-1.0 if p.least is None else p.least)
         return False
 
@@ -355,14 +355,14 @@
             assert judging.judge is not None
             self.looks = judging.judge.looks
             self.record.looked(self.epoch, change, self.looks, verdict, time.time())
-            self.events.say("rollout.judged", change=change.id, stage=change.stage, look=self.looks,
+            self.events.emit("rollout.judged", change=change.id, stage=change.stage, look=self.looks,
                             verdict=verdict.kind.value, why=verdict.reason)
 
     def _report_wait(self, why: str) -> None:
         if why != self.last_wait_reason:
             self.last_wait_reason = why
             if why and self.director is not None:
-                self.events.say("rollout.waits", change=self.director.change.id, why=why)
+                self.events.emit("rollout.waits", change=self.director.change.id, why=why)
 
     def _spawn(self, node: str, work: Any) -> None:
         task = asyncio.create_task(work)
@@ -384,10 +384,10 @@
         director.move(cause, why, self.clock(), judged)
         self.record.moved(self.epoch, change, before, cause, time.time())
         failpoint("rollout.moved")
-        self.events.say("rollout.moved", change=change.id, before=before.value, cause=cause.value,
+        self.events.emit("rollout.moved", change=change.id, before=before.value, cause=cause.value,
                         after=change.state.value, why=why)
         if change.state is State.STAGE:
-            self.events.say("rollout.stage", change=change.id, stage=change.stage,
+            self.events.emit("rollout.stage", change=change.id, stage=change.stage,
                             nodes=len(change.stages[change.stage]))
 
     def _handle_requests(self, director: Director) -> None:
@@ -435,11 +435,11 @@
         director = self.director
         assert director is not None
         change = director.change.id
-        self.events.say("rollout.step", change=change, step=number, node=command.node, say=command.say)
+        self.events.emit("rollout.step", change=change, step=number, node=command.node, say=command.say)
         try:
             reply = await send(self.members[command.node], command_message(command, self.epoch, self.clock(), number))
         except OSError as error:
-            self.events.say("rollout.answered", change=change, step=number, node=command.node, ok=False,
+            self.events.emit("rollout.answered", change=change, step=number, node=command.node, ok=False,
                             why=str(error))
             return  # the step stays open: the keeper may or may not have taken it
         failpoint("rollout.answered")
@@ -447,7 +447,7 @@
             director.receive_status(command.node, reply.status, self.clock())
         self.record.outcome(self.epoch, number, "ok" if reply.ok else "refused", reply.why, time.time())
         failpoint("rollout.outcome")
-        self.events.say("rollout.answered", change=change, step=number, node=command.node, ok=reply.ok,
+        self.events.emit("rollout.answered", change=change, step=number, node=command.node, ok=reply.ok,
                         why=reply.why)
 
     def _start_fetch(self, command: Command) -> None:
@@ -469,7 +469,7 @@
         if reply.status is not None:
             self.director.receive_status(command.node, reply.status, self.clock())
         if not reply.ok:
-            self.events.say("rollout.answered", change=change.id, step=0, node=command.node, ok=False, why=reply.why)
+            self.events.emit("rollout.answered", change=change.id, step=0, node=command.node, ok=False, why=reply.why)
             await asyncio.sleep(self.poll_s)
 
 
--- a/headspar/snapshot/cli.py
+++ b/headspar/snapshot/cli.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.snapshot.expiry import FIELDS, LocalIdentity, restore
 from headspar.snapshot.format import Snapshot
 from headspar.snapshot.store import Store
@@ -28,14 +28,14 @@
 
 def _store(folder: Path) -> Store:
     if not folder.is_dir():
-        raise stop(f"{folder}: there is no such folder", 2)
+        raise error_exit(f"{folder}: there is no such folder", 2)
     return Store(folder)
 
 
 def _newest(folder: Path) -> Snapshot:
     newest, errors = _store(folder).newest()
     if newest is None:
-        raise stop(f"{folder}: {'; '.join(errors) or 'no snapshot found'}", 1)
+        raise error_exit(f"{folder}: {'; '.join(errors) or 'no snapshot found'}", 1)
     return newest
 
 
@@ -60,7 +60,7 @@
                   f"number {row['serial']}, of {row['name']} in {row['site']}, {row['age_s']} s old, "
                   f"{row['servers']} servers"))
     if not any("serial" in row for row in rows):
-        raise stop(f"{folder}: no usable snapshot", 1)
+        raise error_exit(f"{folder}: no usable snapshot", 1)
 
 
 @app.command()
@@ -98,12 +98,12 @@
     folder: FolderArgument, out: Annotated[Path, typer.Option("--out", help="The file to write (JSON).")],
 ) -> None:
     """Write the newest snapshot as JSON, for inspection only: nodes can't import it."""
-    writable(out)
+    check_output_folders(out)
     newest = _newest(folder)
     try:
         out.write_text(json.dumps(asdict(newest), indent=1) + "\n")
     except OSError as error:
-        raise stop(f"{out}: {error.strerror}", 2) from None
+        raise error_exit(f"{out}: {error.strerror}", 2) from None
 
 
 @app.command()
@@ -114,12 +114,12 @@
     """Delete the snapshots, so that the next start restores nothing.  Refused while a node writes to the folder."""
     store = _store(folder)
     if not yes:
-        raise stop(f"{folder}: {len(store.read_all())} files would be deleted; --yes does it", 0)
+        raise error_exit(f"{folder}: {len(store.read_all())} files would be deleted; --yes does it", 0)
     try:
         if not store.claim():
-            raise stop(f"{folder}: in use by a running node; stop it first", 1)
+            raise error_exit(f"{folder}: in use by a running node; stop it first", 1)
         print(f"{store.delete_all()} files deleted")
     except OSError as error:
-        raise stop(f"{folder}: {error.strerror}", 2) from None
+        raise error_exit(f"{folder}: {error.strerror}", 2) from None
     finally:
         store.release()
--- a/tests/rollout/test_for_people.py
+++ b/tests/rollout/test_for_people.py
@@ -29,13 +29,13 @@
 def test_an_event_or_field_that_is_not_in_the_table_can_not_be_said(tmp_path: Path) -> None:
     with (tmp_path / "log").open("w") as stream:
         events = Events(stream)
-        events.say("keeper.stopped", name="n")
+        events.emit("keeper.stopped", name="n")
         wrong: tuple[tuple[str, dict[str, object]], ...] = (
             ("keeper.nothing", {}), ("keeper.stopped", {}), ("keeper.stopped", {"name": "n", "x": 1}),
         )
         for event, fields in wrong:
             with pytest.raises(KeyError):
-                events.say(event, **fields)
+                events.emit(event, **fields)
     row = json.loads((tmp_path / "log").read_text())
     assert row["event"] == "keeper.stopped" and row.keys() == {"event", "timestamp", "name"}
     assert not any("key" in fields or "body" in fields for _, fields in EVENTS.values())
