--- a/benchmarks/judge.py
+++ b/benchmarks/judge.py
@@ -23,10 +23,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from headspar.rollout.judge.before import taken
-from headspar.rollout.judge.intake import Intake
+from headspar.rollout.judge.baseline import take_baseline
 from headspar.rollout.judge.power import powers
-from headspar.rollout.judge.terms import FIGURES, Figure, Kind, Limits, World
+from headspar.rollout.judge.readings import Intake
+from headspar.rollout.judge.types import FIGURES, Environment, Figure, Limits, VerdictKind
 from tests.rollout.judge.world import BEFORE_S, Fleet, Harm
 
 DRAWS = 40
@@ -34,13 +34,13 @@
 
 
 def _burst(seed: int) -> Fleet:
-    return Fleet(seed=seed, shams=3, load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
+    return Fleet(seed=seed, placebos=3, load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
                  trouble=lambda site, t: 0.15 if 30 < t < 60 else 0.0)
 
 
 def _release(seed: int) -> Fleet:
-    return Fleet(seed=seed, shams=3, trouble=lambda site, t: 0.2 if site == "b" and t > 20 else 0.0,
-                 world=World(servers_lost={"b": 0.2}))
+    return Fleet(seed=seed, placebos=3, trouble=lambda site, t: 0.2 if site == "b" and t > 20 else 0.0,
+                 world=Environment(servers_lost={"b": 0.2}))
 
 
 def _dying(seed: int) -> Fleet:
@@ -49,45 +49,46 @@
 
 def _outage(seed: int) -> Fleet:
     """Discovery is gone for 40 s: servers that die are heard of late, at all nodes alike."""
-    return Fleet(seed=seed, shams=3, trouble=lambda site, t: 0.08 if 25 < t < 65 else 0.0)
+    return Fleet(seed=seed, placebos=3, trouble=lambda site, t: 0.08 if 25 < t < 65 else 0.0)
 
 
 HARMLESS: dict[str, Callable[[int], Fleet]] = {
-    "calm": lambda seed: Fleet(seed=seed, shams=3), "burst": _burst, "a site's release": _release,
+    "calm": lambda seed: Fleet(seed=seed, placebos=3), "burst": _burst, "a site's release": _release,
     "a site dies": _dying, "discovery's outage": _outage,
-    "traffic differs by half": lambda seed: Fleet(seed=seed, shams=3, skew=0.5),
+    "traffic differs by half": lambda seed: Fleet(seed=seed, placebos=3, skew=0.5),
     "nothing restarted alongside": lambda seed: Fleet(seed=seed),
 }
 HARMS: dict[str, Callable[[int], Fleet]] = {
-    "late, 5 points": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(late=0.05)),
-    "refused, 4 points": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(refused=0.04)),
-    "refused, 2 points of one class, margin 3": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(pay_refused=0.02)),
+    "late, 5 points": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(late=0.05)),
+    "refused, 4 points": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(refused=0.04)),
+    "refused, 2 points of one class, margin 3": lambda seed: Fleet(
+        seed=seed, placebos=3, harm=Harm(pay_refused=0.02)),
     "refused, 2 points of one class, margin 1": lambda seed: Fleet(
-        seed=seed, shams=3, harm=Harm(pay_refused=0.02), limits=Limits(by_class=ONE_POINT)),
-    "refused, 6 points of one class": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(pay_refused=0.06)),
-    "failed, 3 points": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(failed=0.03)),
-    "three times the connections": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(handshakes=3.0)),
-    "attempts, 1.4 times": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(attempts=1.4)),
-    "leaks 1 MB a minute": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(leak_mb_min=1.0),
+        seed=seed, placebos=3, harm=Harm(pay_refused=0.02), limits=Limits(by_class=ONE_POINT)),
+    "refused, 6 points of one class": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(pay_refused=0.06)),
+    "failed, 3 points": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(failed=0.03)),
+    "three times the connections": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(handshakes=3.0)),
+    "attempts, 1.4 times": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(attempts=1.4)),
+    "leaks 1 MB a minute": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(leak_mb_min=1.0),
                                               limits=Limits(memory_mb=140.0, least_s=200.0)),
-    "breaks a rule every two seconds": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(broken=0.5)),
+    "breaks a rule every two seconds": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(broken=0.5)),
     "neighbours late, 6 points": lambda seed: Fleet(seed=seed, new=2, harm=Harm(neighbours=0.06)),
     "worse in one site, 15 points late": lambda seed: Fleet(seed=seed, new=6, harm=Harm(late=0.15, site="b")),
-    "bad after four minutes, 8 points": lambda seed: Fleet(seed=seed, shams=3, harm=Harm(refused=0.08, from_s=240),
+    "bad after four minutes, 8 points": lambda seed: Fleet(seed=seed, placebos=3, harm=Harm(refused=0.08, from_s=240),
                                                            limits=Limits(least_s=400)),
     "late, 5 points, in a burst": lambda seed: Fleet(
-        seed=seed, shams=3, harm=Harm(late=0.05), load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
+        seed=seed, placebos=3, harm=Harm(late=0.05), load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
         trouble=lambda site, t: 0.15 if 30 < t < 60 else 0.0),
 }
 SIZES = ((12, 1), (12, 3), (24, 6))  # nodes of one site, changed
 
 
-def harmless(case: tuple[str, int]) -> tuple[str, Kind]:
+def harmless(case: tuple[str, int]) -> tuple[str, VerdictKind]:
     name, seed = case
     return name, HARMLESS[name](seed).play()[0].kind
 
 
-def harmful(case: tuple[str, int]) -> tuple[str, Kind, float, float]:
+def harmful(case: tuple[str, int]) -> tuple[str, VerdictKind, float, float]:
     """With the time, and the share of requests that met the changed nodes until then."""
     name, seed = case
     fleet = HARMS[name](seed)
@@ -105,14 +106,14 @@
     intake = Intake()
     for at, rows in quiet.before():
         for row in rows:
-            intake.take(row, at)
-    before = taken(intake, 0.0, BEFORE_S - 2)
+            intake.add(row, at)
+    before = take_baseline(intake, 0.0, BEFORE_S - 2)
     told = next(p for p in powers(before, [sorted(quiet.changed)], limits) if p.figure == "refused")
     if told.least is None:
         return nodes, new, 0.0, False
     tight = Limits(figures=(Figure("refused", "refused", "taken", told.least / 2),), by_class=(), most_s=200.0)
     harmed = Fleet(nodes=nodes, sites=1, new=new, seed=seed, limits=tight, harm=Harm(refused=told.least))
-    return nodes, new, told.least, harmed.play()[0].kind is Kind.BACK
+    return nodes, new, told.least, harmed.play()[0].kind is VerdictKind.BACK
 
 
 def _pct(part: int, whole: int) -> float:
@@ -128,22 +129,23 @@
     since, seeds = time.monotonic(), range(1000, 1000 + args.draws)
     out: dict[str, Any] = {"draws": args.draws, "harmless": {}, "harms": {}, "power": []}
     with ProcessPoolExecutor(args.workers) as pool:
-        kinds: dict[str, Counter[Kind]] = {name: Counter() for name in HARMLESS}
+        kinds: dict[str, Counter[VerdictKind]] = {name: Counter() for name in HARMLESS}
         for name, kind in pool.map(harmless, [(n, s) for n in HARMLESS for s in seeds], chunksize=4):
             kinds[name][kind] += 1
         for name, found in kinds.items():
             out["harmless"][name] = {
-                "false_stops_pct": _pct(found[Kind.BACK], args.draws),
-                "paused_pct": _pct(found[Kind.PAUSE], args.draws), "on_pct": _pct(found[Kind.GO_ON], args.draws)}
+                "false_stops_pct": _pct(found[VerdictKind.BACK], args.draws),
+                "paused_pct": _pct(found[VerdictKind.PAUSE], args.draws),
+                "on_pct": _pct(found[VerdictKind.GO_ON], args.draws)}
             print(f"{name}: {out['harmless'][name]}", file=sys.stderr)
-        rows: dict[str, list[tuple[Kind, float, float]]] = {name: [] for name in HARMS}
+        rows: dict[str, list[tuple[VerdictKind, float, float]]] = {name: [] for name in HARMS}
         for name, kind, at, share in pool.map(harmful, [(n, s) for n in HARMS for s in seeds], chunksize=4):
             rows[name].append((kind, at, share))
         for name, of in rows.items():
-            caught = [(at, share) for kind, at, share in of if kind is Kind.BACK]
+            caught = [(at, share) for kind, at, share in of if kind is VerdictKind.BACK]
             out["harms"][name] = {
                 "caught_pct": _pct(len(caught), len(of)),
-                "paused_pct": _pct(sum(kind is Kind.PAUSE for kind, _, _ in of), len(of)),
+                "paused_pct": _pct(sum(kind is VerdictKind.PAUSE for kind, _, _ in of), len(of)),
                 "to_verdict_s": round(statistics.median(at for at, _ in caught), 1) if caught else None,
                 "exposed_share": round(statistics.median(share for _, share in caught), 3) if caught else None}
             print(f"{name}: {out['harms'][name]}", file=sys.stderr)
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -30,9 +30,9 @@
 from headspar.keeper.messages import Work
 from headspar.model.simulate import simulate
 from headspar.model.work import Becomes, Mixture, Version
+from headspar.rollout.change_judge import Judging
 from headspar.rollout.judge.judge import Judge
-from headspar.rollout.judge.terms import Judged, Kind, Limits, Stage
-from headspar.rollout.judging import Judging
+from headspar.rollout.judge.types import JudgeSettings, Limits, Stage, VerdictKind
 from headspar.settings import read_settings
 from headspar.world.plan import draw, node_names
 from headspar.world.rules import settings
@@ -132,7 +132,7 @@
                    case.version.later)
 
 
-def play(task: tuple[str, int, int, int]) -> tuple[str, Kind, str, float, float, int]:
+def play(task: tuple[str, int, int, int]) -> tuple[str, VerdictKind, str, float, float, int]:
     """The case's name, the verdict with its reason, when, the exposed share, rules broken."""
     name, nodes, changed, seed = task
     case = (HARMLESS | HARMS)[name]
@@ -147,20 +147,20 @@
     for row in result.told:
         told.setdefault(round(row.at_s), []).append(row)
     site_of = {row.node: row.site for row in result.told}
-    judging = Judging(Judged(True, BEFORE_S - 5.0, 1.0, case.limits), site_of, 0.0, None)
+    judging = Judging(JudgeSettings(True, BEFORE_S - 5.0, 1.0, case.limits), site_of, 0.0, None)
     judge: Judge | None = None
     verdict, at = None, 0.0
     for second in sorted(told):
         now = float(second)
         for row in told[second]:
-            judging.take(row.node, Work(row.process, row.up_s, "new" if row.version else "old", row.counts,
-                                        row.gauges), now)
+            judging.add_work(row.node, Work(row.process, row.up_s, "new" if row.version else "old", row.counts,
+                                            row.gauges), now)
         if now >= BEFORE_S and judge is None:
-            before = judging.look_before(now)
+            before = judging.take_baseline(now)
             judge = Judge(judging.intake, Stage(now, frozenset(new), "new"), case.limits, before)
         elif judge is not None:
             verdict, at = judge.look(now, judging.world(judge.old, now)), now - BEFORE_S
-            if verdict.kind is not Kind.WAIT:
+            if verdict.kind is not VerdictKind.WAIT:
                 break
     assert verdict is not None and judge is not None
     met = total = 0.0
@@ -195,7 +195,7 @@
     args = parser.parse_args()
     since = time.monotonic()
     names = [n for n in (*HARMLESS, *HARMS) if not args.only or n in args.only.split(",")]
-    rows: dict[str, list[tuple[Kind, str, float, float, int]]] = {n: [] for n in names}
+    rows: dict[str, list[tuple[VerdictKind, str, float, float, int]]] = {n: [] for n in names}
     with ProcessPoolExecutor(args.workers) as pool:
         for name, *row in pool.map(
                 play, [(n, args.nodes, args.changed, 1000 + s) for n in names for s in range(args.draws)]):
@@ -208,11 +208,11 @@
     out: dict[str, Any] = {"draws": args.draws, "nodes": args.nodes, "changed": args.changed,
                            "harmless": {}, "harms": {}}
     for name, of in rows.items():
-        back = [r for r in of if r[0] is Kind.BACK]
-        paused = _pct(sum(r[0] is Kind.PAUSE for r in of), len(of))
+        back = [r for r in of if r[0] is VerdictKind.BACK]
+        paused = _pct(sum(r[0] is VerdictKind.PAUSE for r in of), len(of))
         if name in HARMLESS:
             out["harmless"][name] = {"false_stops_pct": _pct(len(back), len(of)), "paused_pct": paused,
-                                     "on_pct": _pct(sum(r[0] is Kind.GO_ON for r in of), len(of))}
+                                     "on_pct": _pct(sum(r[0] is VerdictKind.GO_ON for r in of), len(of))}
         else:
             out["harms"][name] = {
                 "caught_pct": _pct(len(back), len(of)), "paused_pct": paused,
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -32,11 +32,11 @@
 from headspar.lab.children import now_us
 from headspar.lab.kept import KeptRun, Script, run_kept
 from headspar.lab.run import Result
+from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
-from headspar.rollout.host import send
 from headspar.rollout.limits import Limits
 from headspar.rollout.record import Record
-from headspar.rollout.rehearsal import NEW, OLD, Faults, Rehearsal
+from headspar.rollout.simulation import NEW, OLD, Faults, Simulation
 from headspar.rollout.state import OVER, State
 from headspar.world.records import Mark
 from headspar.world.scenario import parse
@@ -251,23 +251,23 @@
     """One drawn order: how it ended, moments over the limits, and whether fleet and record agree."""
     rng = random.Random(f"{seed}/size")
     nodes, sites = rng.choice([(1, 1), (6, 2), (12, 3), (24, 3), (30, 5)])
-    world = Rehearsal(nodes, sites, seed, _faults(seed), Limits(rng.choice([1, 2, 4]), rng.choice([1, 2])),
-                      settings_only=rng.random() < 0.2)
+    world = Simulation(nodes, sites, seed, _faults(seed), Limits(rng.choice([1, 2, 4]), rng.choice([1, 2])),
+                       settings_only=rng.random() < 0.2)
     world.run(1500.0)
     state = world.change.state
     wanted = {State.DONE: NEW, State.TAKEN_BACK: OLD}.get(state)
     agree = wanted is not None and world.settled() and world.running() == {wanted: nodes}
     steps = all(len({s for _, s in n.epochs}) == len(n.epochs) for n in world.nodes.values())
-    return state.value, world.over, agree and steps
+    return state.value, world.limit_violations, agree and steps
 
 
 def large(seed: int) -> tuple[str, int, float]:
     """1,000 nodes in 6 sites under faults: its end, moments over the limits, seconds of the change."""
     faults = Faults(drop=0.02, lose=0.02, late=0.02, twice=0.05, keeper_deaths=0.0005, controller_deaths=0.01,
                     cuts=0.0005, cut_s=1.5, until=400.0)
-    world = Rehearsal(1000, 6, seed, faults, Limits(60, 12))
+    world = Simulation(1000, 6, seed, faults, Limits(60, 12))
     world.run(2000.0)
-    return world.change.state.value, world.over, world.change.since
+    return world.change.state.value, world.limit_violations, world.change.since
 
 
 def main() -> None:
--- a/headspar/keeper/cli.py
+++ b/headspar/keeper/cli.py
@@ -65,11 +65,11 @@
     as_json: Annotated[bool, typer.Option("--json", help="Print it as one line of JSON.")] = False,
 ) -> None:
     """Show the state of this machine's keeper and its node."""
+    from headspar.rollout.controller import poll_statuses
     from headspar.rollout.fleet import Member
-    from headspar.rollout.host import ask_all
 
     table = table_of(file)
-    found = asyncio.run(ask_all([Member("here", "", table.listen)]))["here"]
+    found = asyncio.run(poll_statuses([Member("here", "", table.listen)]))["here"]
     if found is None:
         raise error_exit(f"{table.listen}: no keeper answers", 1)
     if as_json:
--- a/headspar/keeper/host.py
+++ b/headspar/keeper/host.py
@@ -208,7 +208,7 @@
             self._spawn(self._wait_until_ready(self.node_processes[starting]))
         self.core.resume(durable, procs, serving, starting, now)
         self.events.emit("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
-                        state=self.core.state)
+                         state=self.core.state)
         self._execute(self.core.advance(now))
 
     async def _identify(self, ops: str) -> dict[str, Any]:
@@ -553,7 +553,7 @@
         assessment = check_command(message, self.machine.name, self.fence, self.core, self.store.has, down)
         if not isinstance(message, m.Heartbeat) or not assessment.ok:
             self.events.emit("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
-                            step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
+                             step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
         now = time.monotonic()
         if assessment.counts:
             before = self.fence
--- a/headspar/rollout/__init__.py
+++ b/headspar/rollout/__init__.py
@@ -2,6 +2,6 @@
 
 Modules without I/O or clock: ``stages`` (which nodes change in which order), ``limits`` (how many nodes may be out at
 once, and where) and ``state`` (a change's state machine and the commands that each node needs).  Modules with I/O:
-``record`` (SQLite store of intents, outcomes and the lease with its epoch), ``host`` (the controller) and ``cli``
-(the command line).
+``record`` (SQLite store of intents, outcomes and the lease with its epoch), ``controller`` (the leading process) and
+``cli`` (the command line).
 """
--- a/headspar/rollout/judging.py
+++ b/headspar/rollout/change_judge.py
@@ -10,11 +10,11 @@
 from math import inf
 
 from headspar.keeper.messages import Work
-from headspar.rollout.judge.before import Before, taken
-from headspar.rollout.judge.intake import Intake, Reading
+from headspar.rollout.judge.baseline import Baseline, take_baseline
 from headspar.rollout.judge.judge import Judge
 from headspar.rollout.judge.power import powers
-from headspar.rollout.judge.terms import Judged, Kind, Power, Stage, Verdict, World
+from headspar.rollout.judge.readings import Intake, Reading
+from headspar.rollout.judge.types import Environment, JudgeSettings, Power, Stage, Verdict, VerdictKind
 from headspar.rollout.state import Change, State
 
 MIN_REPORTING = 0.75  # share of the nodes that must have reported, each for this share of the baseline
@@ -27,16 +27,18 @@
     ``before`` is the baseline from the record; None if it has still to be taken.
     """
 
-    def __init__(self, settings: Judged, sites: Mapping[str, str], now: float, before: Before | None) -> None:
+    def __init__(
+        self, settings: JudgeSettings, sites: Mapping[str, str], now: float, before: Baseline | None,
+    ) -> None:
         self.settings, self.sites, self.began, self.before = settings, dict(sites), now, before
         self.intake = Intake(now)
         self.judge: Judge | None = None
         self.stage: tuple[int, float] | None = None
 
-    def take(self, node: str, work: Work, now: float) -> None:
+    def add_work(self, node: str, work: Work, now: float) -> None:
         """Add a node's report of its work."""
-        self.intake.take(Reading(node, self.sites[node], work.generation, work.process, work.up_s, work.counts,
-                                 work.gauges), now)
+        self.intake.add(Reading(node, self.sites[node], work.generation, work.process, work.up_s, work.counts,
+                                work.gauges), now)
 
     # ------------------------------------------------------------ before the change
 
@@ -51,9 +53,9 @@
             return f"only {reporting} of {len(self.sites)} nodes report their work: the change could not be judged"
         return ""
 
-    def look_before(self, now: float) -> Before:
+    def take_baseline(self, now: float) -> Baseline:
         """Take the baseline from the time up to ``now`` and return it."""
-        self.before = taken(self.intake, now, self.settings.watch_s)
+        self.before = take_baseline(self.intake, now, self.settings.watch_s)
         return self.before
 
     def powers(self, change: Change) -> list[Power]:
@@ -81,13 +83,13 @@
         verdict = judge.look(now, self.world(judge.old, now), changed)
         fresh = (judge.looks, verdict.kind) != previous
         proving = now - (clock - change.since) if change.state is State.PROVING else inf
-        if verdict.kind is Kind.GO_ON and judge.looked_at < proving:
+        if verdict.kind is VerdictKind.GO_ON and judge.looked_at < proving:
             # That look was made while only part of the stage's nodes had changed.
-            verdict = Verdict(Kind.WAIT, f"{verdict.reason}; not all nodes of the stage have been judged",
+            verdict = Verdict(VerdictKind.WAIT, f"{verdict.reason}; not all nodes of the stage have been judged",
                               verdict.seen)
         return verdict, fresh
 
-    def world(self, old: frozenset[str], now: float) -> World:
+    def world(self, old: frozenset[str], now: float) -> Environment:
         """Compare servers, as unchanged nodes list them, and traffic of all nodes with the baseline, by site."""
         assert self.before is not None
         traffic, lost = {}, {}
@@ -101,7 +103,7 @@
             shares = [share for n in names if n in old and (share := self._servers_lost(n)) is not None]
             if shares:
                 lost[site] = statistics.median(shares)
-        return World(lost, traffic)
+        return Environment(lost, traffic)
 
     def _servers_lost(self, node: str) -> float | None:
         """Return the share of the node's baseline servers that are gone or newly cold; None if unknown."""
--- a/headspar/rollout/cli.py
+++ b/headspar/rollout/cli.py
@@ -34,10 +34,10 @@
 from headspar.keeper.slots import assign_slots
 from headspar.operations.ledger import PER_OCTAVE
 from headspar.operator_file import JudgeTable, Operator, OperatorError, RolloutTable, parse_shares
+from headspar.rollout.controller import Controller, observe_fleet, poll_statuses
 from headspar.rollout.fleet import FleetError, Member, load
-from headspar.rollout.host import Controller, ask_all, observe_fleet
-from headspar.rollout.judge.terms import BY_CLASS, FIGURES, Judged, Power
-from headspar.rollout.judge.terms import Limits as JudgeLimits
+from headspar.rollout.judge.types import BY_CLASS, FIGURES, JudgeSettings, Power
+from headspar.rollout.judge.types import Limits as JudgeLimits
 from headspar.rollout.limits import Limits
 from headspar.rollout.record import Busy, Fenced, Record, RecordError
 from headspar.rollout.stages import Candidate
@@ -69,14 +69,14 @@
         raise error_exit(str(error), 4) from None
 
 
-def judge_settings(table: JudgeTable, lost_s: float) -> Judged:
+def judge_settings(table: JudgeTable, lost_s: float) -> JudgeSettings:
     """Return the judge's settings with the operators' margins."""
     margins = [table.served, table.refused, table.failed, table.late, table.attempts, table.handshakes, table.cpu,
                PER_OCTAVE * log2(1.0 + table.time)]
     figures = tuple(replace(f, margin=margin) for f, margin in zip(FIGURES, margins, strict=True))
     by_class = tuple(replace(f, margin=getattr(table, key)) for f, key in zip(
         BY_CLASS, ("class_refused", "class_failed"), strict=True))
-    return Judged(table.on, table.watch_s, table.every_s, JudgeLimits(
+    return JudgeSettings(table.on, table.watch_s, table.every_s, JudgeLimits(
         figures, by_class, table.error, table.least_s, table.most_s, table.settle_s, table.first_s,
         lost_s=lost_s, memory_mb=table.memory_mb, restarts=table.restarts))
 
@@ -150,7 +150,7 @@
 ) -> None:
     """Show the stages of a change and the objections to it, without doing anything."""
     operator, members, _ = setup(file)
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     change, objections = plan_change(operator, members, statuses, name, folder)
     powers: list[Power] = []
     if watch:
@@ -176,7 +176,7 @@
     """Start a change and lead it to its end."""
     operator, members, record = setup(file)
     table = operator.rollout
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     change, objections = plan_change(operator, members, statuses, name, folder)
     if objections and not anyway or not yes:
         Console(stderr=as_json).print(show_plan(change, objections, statuses))
@@ -269,7 +269,7 @@
     """Show the current or last change, and every node."""
     _, members, record = setup(file)
     found = record.latest()
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     holder, epoch, until = record.holder()
     leader = holder if until > time.time() else ""
     if as_json:
@@ -302,7 +302,7 @@
         raise error_exit("there is no change", 1)
     with Live(refresh_per_second=4) as live:
         while (found := record.latest()) is not None:
-            statuses = asyncio.run(ask_all(members))
+            statuses = asyncio.run(poll_statuses(members))
             change = found[0]
             head = f"change {change.id}: {change.state.value}, stage {change.stage + 1} of {len(change.stages)}"
             live.update(Group(Text(f"{head} {change.why}"), status_table(statuses)))
--- a/headspar/rollout/host.py
+++ b/headspar/rollout/controller.py
@@ -16,7 +16,7 @@
 from headspar.failpoints import failpoint
 from headspar.keeper import messages as m
 from headspar.rollout.fleet import Member
-from headspar.rollout.judge.terms import Judged, Power
+from headspar.rollout.judge.types import JudgeSettings, Power
 from headspar.rollout.record import Fenced, Record, Step
 from headspar.rollout.state import (
     OVER,
@@ -32,7 +32,7 @@
 )
 
 if TYPE_CHECKING:
-    from headspar.rollout.judging import Judging
+    from headspar.rollout.change_judge import Judging
 
 ANSWER_S = 2.0  # timeout of a keeper's answer
 FETCH_S = 120.0  # timeout of a keeper that copies a generation
@@ -57,7 +57,7 @@
             writer.close()
 
 
-async def ask_all(members: Sequence[Member], seconds: float = ANSWER_S) -> dict[str, m.Status | None]:
+async def poll_statuses(members: Sequence[Member], seconds: float = ANSWER_S) -> dict[str, m.Status | None]:
     """Return the status of each node's keeper; None without an answer."""
     async def one(member: Member) -> m.Status | None:
         try:
@@ -69,12 +69,12 @@
     return {member.name: status for member, status in zip(members, found, strict=True)}
 
 
-async def observe_fleet(members: list[Member], settings: Judged, change: Change) -> tuple[list[Power], str]:
+async def observe_fleet(members: list[Member], settings: JudgeSettings, change: Change) -> tuple[list[Power], str]:
     """Take a baseline of the fleet for ``settings.watch_s`` seconds, as before a change.
 
     Returns the power of each stage, and why there is none (empty if there is).
     """
-    from headspar.rollout.judging import Judging  # its libraries take a second to load
+    from headspar.rollout.change_judge import Judging  # its libraries take a second to load
 
     judging = Judging(settings, {member.name: member.site for member in members}, time.monotonic(), None)
 
@@ -93,14 +93,14 @@
     why = judging.waits(now)
     if why:
         return [], why
-    judging.look_before(now)
+    judging.take_baseline(now)
     return judging.powers(change), ""
 
 
 def record_work(judging: Judging, member: Member, reply: m.Reply) -> None:
     """Pass on a node's work report, if the reply is that node's and has one."""
     if reply.work is not None and reply.status is not None and reply.status.name == member.name:
-        judging.take(member.name, reply.work, time.monotonic())
+        judging.add_work(member.name, reply.work, time.monotonic())
 
 
 class Controller:
@@ -235,9 +235,11 @@
             judge = change.ways.judge
             self.judging = None
             if judge.on and change.state not in OVER:
-                from headspar.rollout.judging import Judging  # its libraries take longer to load than everything else
+                from headspar.rollout.change_judge import (
+                    Judging,  # its libraries take longer to load than everything else
+                )
 
-                self.judging = Judging(judge, sites, time.monotonic(), self.record.before(change.id))
+                self.judging = Judging(judge, sites, time.monotonic(), self.record.baseline(change.id))
         return True
 
     def clock(self) -> float:
@@ -328,13 +330,13 @@
         self._report_wait(waits)
         if waits:
             return True
-        before = judging.look_before(now)
+        before = judging.take_baseline(now)
         powers = judging.powers(change)
-        self.record.keep_before(self.epoch, change.id, before, powers, time.time())
+        self.record.store_baseline(self.epoch, change.id, before, powers, time.time())
         for p in powers:
             if not p.enough:
                 self.events.emit("rollout.power", change=change.id, stage=p.stage, figure=p.figure, margin=p.margin,
-                                least=-1.0 if p.least is None else p.least)
+                                 least=-1.0 if p.least is None else p.least)
         return False
 
     def _judge(self, director: Director, clock: float) -> None:
@@ -354,9 +356,9 @@
         if new:
             assert judging.judge is not None
             self.looks = judging.judge.looks
-            self.record.looked(self.epoch, change, self.looks, verdict, time.time())
+            self.record.record_look(self.epoch, change, self.looks, verdict, time.time())
             self.events.emit("rollout.judged", change=change.id, stage=change.stage, look=self.looks,
-                            verdict=verdict.kind.value, why=verdict.reason)
+                             verdict=verdict.kind.value, why=verdict.reason)
 
     def _report_wait(self, why: str) -> None:
         if why != self.last_wait_reason:
@@ -382,13 +384,13 @@
         change, before = director.change, director.change.state
         failpoint("rollout.move")
         director.move(cause, why, self.clock(), judged)
-        self.record.moved(self.epoch, change, before, cause, time.time())
+        self.record.record_transition(self.epoch, change, before, cause, time.time())
         failpoint("rollout.moved")
         self.events.emit("rollout.moved", change=change.id, before=before.value, cause=cause.value,
-                        after=change.state.value, why=why)
+                         after=change.state.value, why=why)
         if change.state is State.STAGE:
             self.events.emit("rollout.stage", change=change.id, stage=change.stage,
-                            nodes=len(change.stages[change.stage]))
+                             nodes=len(change.stages[change.stage]))
 
     def _handle_requests(self, director: Director) -> None:
         """Apply the requests that people have made of the change."""
@@ -440,7 +442,7 @@
             reply = await send(self.members[command.node], command_message(command, self.epoch, self.clock(), number))
         except OSError as error:
             self.events.emit("rollout.answered", change=change, step=number, node=command.node, ok=False,
-                            why=str(error))
+                             why=str(error))
             return  # the step stays open: the keeper may or may not have taken it
         failpoint("rollout.answered")
         if reply.status is not None:
@@ -448,7 +450,7 @@
         self.record.outcome(self.epoch, number, "ok" if reply.ok else "refused", reply.why, time.time())
         failpoint("rollout.outcome")
         self.events.emit("rollout.answered", change=change, step=number, node=command.node, ok=reply.ok,
-                        why=reply.why)
+                         why=reply.why)
 
     def _start_fetch(self, command: Command) -> None:
         """Have a node fetch a generation in the background, as this does not affect its service."""
@@ -473,4 +475,4 @@
             await asyncio.sleep(self.poll_s)
 
 
-__all__ = ["Controller", "Fenced", "ask_all", "send"]
+__all__ = ["Controller", "Fenced", "poll_statuses", "send"]
--- a/headspar/rollout/judge/before.py
+++ b/headspar/rollout/judge/baseline.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from headspar.rollout.judge.intake import Intake
+from headspar.rollout.judge.readings import Intake
 
 PIECES = 8  # for placebo comparisons; a power of two, so that pieces can be merged in pairs
 GAUGES = ("servers", "cold")
 
 
-class Before(msgspec.Struct, frozen=True):
+class Baseline(msgspec.Struct, frozen=True):
     """The baseline of a fleet.
 
     ``pieces`` are consecutive periods of ``piece_s`` seconds, newest first, each with the counts by node and name.
@@ -62,7 +62,7 @@
     return out
 
 
-def taken(intake: Intake, until: float, length: float) -> Before:
+def take_baseline(intake: Intake, until: float, length: float) -> Baseline:
     """Return the baseline over the ``length`` seconds up to ``until``.
 
     A node without readings in a piece is missing from that piece.
@@ -75,4 +75,4 @@
         pieces.append({n: s for n, s in sums.items() if s["spans"] > 0})
     gauges = {n: {g: v for g, v in latest.items() if g in GAUGES}
               for n in sorted(intake.nodes) if (latest := intake.latest(n))}
-    return Before(piece_s, {n: known.site for n, known in sorted(intake.nodes.items())}, pieces, gauges)
+    return Baseline(piece_s, {n: known.site for n, known in sorted(intake.nodes.items())}, pieces, gauges)
--- a/headspar/rollout/judge/judge.py
+++ b/headspar/rollout/judge/judge.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from headspar.rollout.judge.before import Before, taken
+from headspar.rollout.judge.baseline import Baseline, take_baseline
 from headspar.rollout.judge.compare import (
     Difference,
     NodeDelta,
@@ -36,17 +36,17 @@
     placebo,
     ratios,
 )
-from headspar.rollout.judge.intake import Intake
-from headspar.rollout.judge.terms import (
+from headspar.rollout.judge.readings import Intake
+from headspar.rollout.judge.types import (
     LIMITS,
-    UNCHANGED_WORLD,
+    UNCHANGED_ENVIRONMENT,
     Comparison,
+    Environment,
     Figure,
-    Kind,
     Limits,
     Stage,
     Verdict,
-    World,
+    VerdictKind,
 )
 
 WARM_UP_S = 60.0  # warm-up of a restarted node, during which only placebo nodes are its controls, if a site has any
@@ -62,29 +62,30 @@
     unless a guard has been violated.
     """
 
-    def __init__(self, intake: Intake, stage: Stage, limits: Limits = LIMITS, before: Before | None = None,
+    def __init__(self, intake: Intake, stage: Stage, limits: Limits = LIMITS, before: Baseline | None = None,
                  looks: int = 0) -> None:
         """``before`` is the baseline (None: taken from the time right before the stage).  ``looks`` is the number of
         looks at this stage that an earlier controller has made."""
         self.intake, self.stage, self.limits = intake, stage, limits
-        self.before = before or taken(intake, stage.since, stage.before_s)
+        self.before = before or take_baseline(intake, stage.since, stage.before_s)
         self.looks = looks
         # A controller that takes over has no readings of the stage: its schedule starts anew, but the error that
         # earlier looks have spent stays spent.
         self.next_at = max(stage.since, intake.started_at) + limits.first_s
         self.looked_at = stage.since
-        self.last = Verdict(Kind.WAIT, "no look has been made yet", more_s=limits.first_s)
+        self.last = Verdict(VerdictKind.WAIT, "no look has been made yet", more_s=limits.first_s)
         self.sites = sorted(set(self.before.sites.values()))
         self.old = frozenset(self.before.sites) - stage.new
         self.sums: dict[tuple[object, ...], Mapping[str, float]] = {}  # cache of one look, by query
         self.baseline = {n: self.before.totals(n) for n in self.before.sites}
 
-    def look(self, now: float, world: World = UNCHANGED_WORLD, changed: frozenset[str] | None = None) -> Verdict:
-        """Return the verdict at ``now`` (the clock of ``Intake.take``).
+    def look(self, now: float, world: Environment = UNCHANGED_ENVIRONMENT, changed: frozenset[str] | None = None,
+             ) -> Verdict:
+        """Return the verdict at ``now`` (the clock of ``Intake.add``).
 
         ``changed`` are the nodes that run the new generation by now (None: all of the stage).
         """
-        if self.last.kind in (Kind.BACK, Kind.PAUSE):
+        if self.last.kind in (VerdictKind.BACK, VerdictKind.PAUSE):
             return self.last  # these verdicts are final
         violation = self._guards(now, self.stage.new if changed is None else self.stage.new & changed)
         if violation is not None:
@@ -95,9 +96,9 @@
         self.looked_at = now
         if not self.old:
             lasted = now - self.stage.since
-            self.last = Verdict(Kind.GO_ON, f"no unchanged node is left to compare with; no guard was violated in "
-                                            f"{lasted:.0f} s") \
-                if lasted >= self.limits.least_s else Verdict(Kind.WAIT, "no unchanged node is left")
+            self.last = Verdict(VerdictKind.GO_ON, f"no unchanged node is left to compare with; no guard was "
+                                                   f"violated in {lasted:.0f} s") \
+                if lasted >= self.limits.least_s else Verdict(VerdictKind.WAIT, "no unchanged node is left")
             return self.last
         self.looks += 1
         self.sums.clear()
@@ -125,23 +126,23 @@
         for n in new:
             broken = self.intake.sums(n, stage.since, now, stage.generation).get("broken", 0.0)
             if broken:
-                return Verdict(Kind.BACK, f"{n} broke a rule {broken:.0f} times since it was changed")
+                return Verdict(VerdictKind.BACK, f"{n} broke a rule {broken:.0f} times since it was changed")
         # The change itself starts one new process per node; restarts of unchanged nodes have other causes.
         restarts = sum(max(0, self.intake.starts(n, stage.since) - 1) for n in new)
         others = [self.intake.starts(n, stage.since) - (n in stage.shams) for n in self.old
                   if self._site(n) not in dead]
         expected = len(new) * sum(max(0, s) for s in others) / len(others) if others else 0.0
         if restarts > limits.restarts + 2 * expected:
-            return Verdict(Kind.BACK, f"changed nodes restarted {restarts} times, expected from the unchanged nodes: "
-                                      f"{expected:.1f}")
+            return Verdict(VerdictKind.BACK, f"changed nodes restarted {restarts} times, expected from the unchanged "
+                                             f"nodes: {expected:.1f}")
         if now - stage.since > limits.lost_s:
             # In a site that fails, the last readings of the nodes arrive at slightly different times.  The nodes of
             # a site that is falling silent are not counted until it is known whether the whole site has failed.
             failing = self._dead_sites(now, limits.lost_s / 3)
             lost = [n for n in new if self.intake.silent_s(n, now) > limits.lost_s and self._site(n) not in failing]
             if lost and len(lost) >= max(1, ceil(0.2 * len(new))):
-                return Verdict(Kind.BACK, f"{len(lost)} of {len(new)} changed nodes have not reported figures for "
-                                          f"{limits.lost_s:.0f} s ({', '.join(lost[:3])})")
+                return Verdict(VerdictKind.BACK, f"{len(lost)} of {len(new)} changed nodes have not reported figures "
+                                                 f"for {limits.lost_s:.0f} s ({', '.join(lost[:3])})")
         return self._memory(new, now) if limits.memory_mb else None
 
     def _memory(self, new: list[str], now: float) -> Verdict | None:
@@ -159,8 +160,9 @@
         reporting = sum(slopes[n] is not None for n in new)
         if reporting and len(leaking) >= max(1, ceil(0.75 * reporting)):
             rate = sorted(s[0] for n in leaking if (s := slopes[n]) is not None)[0]
-            return Verdict(Kind.BACK, f"memory of {len(leaking)} changed nodes grows by {60 * rate:.2f} MB per "
-                                      f"minute or more and exceeds {self.limits.memory_mb:.0f} MB within the hour")
+            return Verdict(VerdictKind.BACK, f"memory of {len(leaking)} changed nodes grows by {60 * rate:.2f} MB "
+                                             f"per minute or more and exceeds {self.limits.memory_mb:.0f} MB within "
+                                             f"the hour")
         return None
 
     # ------------------------------------------------------------ figures
@@ -181,7 +183,7 @@
                         for f in self.limits.by_class]
         return out
 
-    def _compare(self, now: float, world: World) -> Verdict:
+    def _compare(self, now: float, world: Environment) -> Verdict:
         figures, since = self._figures(), self.stage.since
         # Both groups are compared over the same seconds: the changed nodes' settling time is left out for all.
         whole = since + self.limits.settle_s
@@ -203,7 +205,7 @@
         seen.sort(key=lambda s: s.margin - s.harm)
         worse = [s for s in seen if s.low > 0 and s.harm >= s.margin]
         if worse:
-            return Verdict(Kind.BACK, f"{_describe(worse[0])}: significantly worse, by the margin or more",
+            return Verdict(VerdictKind.BACK, f"{_describe(worse[0])}: significantly worse, by the margin or more",
                            tuple(seen))
         violation = self._neighbours(figures, now, level, world)
         if violation is not None:
@@ -211,36 +213,38 @@
         lasted = now - since
         undecided = [s for s in seen if s.high >= s.margin]
         if not undecided and not missing and seen and lasted >= self.limits.least_s:
-            return Verdict(Kind.GO_ON, f"no figure is worse by its margin after {lasted:.0f} s", tuple(seen))
+            return Verdict(VerdictKind.GO_ON, f"no figure is worse by its margin after {lasted:.0f} s", tuple(seen))
         if lasted >= self.limits.most_s:
             return self._undecided(undecided, missing, lasted, seen)
         if not undecided and not missing:
-            return Verdict(Kind.WAIT, "no figure is worse; the stage's minimum duration is not over", tuple(seen),
-                           self.limits.least_s - lasted)
+            return Verdict(VerdictKind.WAIT, "no figure is worse; the stage's minimum duration is not over",
+                           tuple(seen), self.limits.least_s - lasted)
         if missing and not seen:
-            return Verdict(Kind.WAIT, "no site has both changed and unchanged nodes with figures", (), lasted)
+            return Verdict(VerdictKind.WAIT, "no site has both changed and unchanged nodes with figures", (), lasted)
         widest = max(undecided, key=lambda s: (s.high - s.harm) / max(1e-9, s.margin - max(0.0, s.harm)),
                      default=seen[0])
         gap = max(0.05 * widest.margin, widest.margin - max(0.0, widest.harm))
         factor = min(100.0, ((widest.high - widest.harm) / gap) ** 2)
-        return Verdict(Kind.WAIT, f"{_describe(widest)}: not significant yet", tuple(seen),
+        return Verdict(VerdictKind.WAIT, f"{_describe(widest)}: not significant yet", tuple(seen),
                        max(1.0, lasted * (factor - 1.0)))
 
     def _undecided(self, undecided: list[Comparison], missing: list[str], lasted: float,
                    seen: list[Comparison]) -> Verdict:
         """Return the verdict to pause when the time of the stage is up."""
         if missing and not seen:
-            return Verdict(Kind.PAUSE, f"after {lasted:.0f} s there is nothing to compare the changed nodes with")
+            return Verdict(VerdictKind.PAUSE,
+                           f"after {lasted:.0f} s there is nothing to compare the changed nodes with")
         if not undecided:
-            return Verdict(Kind.PAUSE, f"after {lasted:.0f} s some figures are missing: {missing[0]}", tuple(seen))
+            return Verdict(VerdictKind.PAUSE, f"after {lasted:.0f} s some figures are missing: {missing[0]}",
+                           tuple(seen))
         w = undecided[0]
         if w.low > 0:
-            return Verdict(Kind.PAUSE, f"{_describe(w)}: significantly worse, undecided whether by the margin",
+            return Verdict(VerdictKind.PAUSE, f"{_describe(w)}: significantly worse, undecided whether by the margin",
                            tuple(seen))
-        return Verdict(Kind.PAUSE, f"{_describe(w)}: undecided after {lasted:.0f} s; harm of "
-                                   f"{w.high - w.harm:.3f} or more would have been detected", tuple(seen))
+        return Verdict(VerdictKind.PAUSE, f"{_describe(w)}: undecided after {lasted:.0f} s; harm of "
+                                          f"{w.high - w.harm:.3f} or more would have been detected", tuple(seen))
 
-    def _stable_nodes(self, world: World, new: frozenset[str], old: frozenset[str],
+    def _stable_nodes(self, world: Environment, new: frozenset[str], old: frozenset[str],
                       ) -> tuple[frozenset[str], frozenset[str]]:
         """Return the nodes of sites whose environment is unchanged, if one of them has both groups; else all."""
         sites = {s for s in self.sites if not world.has_changed(s)}
@@ -296,7 +300,7 @@
             return None
         return Comparison(f.name, found.by, found.low, found.high, margin, found.new, found.old)
 
-    def _neighbours(self, figures: list[Figure], now: float, level: float, world: World) -> Verdict | None:
+    def _neighbours(self, figures: list[Figure], now: float, level: float, world: Environment) -> Verdict | None:
         """Compare the unchanged nodes of sites with changed nodes with those of the other sites."""
         touched = {self._site(n) for n in self.stage.new}
         near = frozenset(n for n in self.old if self._site(n) in touched and n not in self.stage.shams)
@@ -310,9 +314,9 @@
                 text = f"unchanged nodes next to changed ones: {_describe(found)}"
                 moved = sorted(s for s in touched if world.has_changed(s))
                 if moved:
-                    return Verdict(Kind.PAUSE, f"{text}; but servers or traffic of {', '.join(moved)} have changed, "
-                                               f"which may be the cause", (found,))
-                return Verdict(Kind.BACK, f"{text}: significantly worse, by the margin or more", (found,))
+                    return Verdict(VerdictKind.PAUSE, f"{text}; but servers or traffic of {', '.join(moved)} have "
+                                                      f"changed, which may be the cause", (found,))
+                return Verdict(VerdictKind.BACK, f"{text}: significantly worse, by the margin or more", (found,))
         return None
 
 
--- a/headspar/rollout/judge/power.py
+++ b/headspar/rollout/judge/power.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 from math import inf, sqrt
 
-from headspar.rollout.judge.before import Before
+from headspar.rollout.judge.baseline import Baseline
 from headspar.rollout.judge.compare import MIN_MULTIPLE, Spread, error_share, placebo, ratios, t_quantile, value
-from headspar.rollout.judge.terms import Figure, Limits, Power
+from headspar.rollout.judge.types import Figure, Limits, Power
 
 POWER = 0.8
 MAX_STAGE_S = 24 * 3600.0
@@ -34,7 +34,7 @@
     return (t_quantile(1.0 - level, degrees) + t_quantile(power, degrees)) * error
 
 
-def powers(before: Before, stages: Sequence[Sequence[str]], limits: Limits) -> list[Power]:
+def powers(before: Baseline, stages: Sequence[Sequence[str]], limits: Limits) -> list[Power]:
     """Return the power of each stage that leaves unchanged nodes, for each figure that is a share of requests.
 
     A stage is treated as if it were in one site; across several sites its power is slightly higher.
--- a/headspar/rollout/judge/intake.py
+++ b/headspar/rollout/judge/readings.py
@@ -72,7 +72,7 @@
         self.nodes: dict[str, _NodeHistory] = {}
         self.rejected: dict[str, int] = {}
 
-    def take(self, r: Reading, now: float) -> bool:
+    def add(self, r: Reading, now: float) -> bool:
         """Add a reading and return whether it was accepted.  ``now``: seconds of the judge's monotonic clock."""
         history = self.nodes.get(r.node)
         if history is None:
--- a/headspar/rollout/judge/terms.py
+++ b/headspar/rollout/judge/types.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class Kind(Enum):
+class VerdictKind(Enum):
     GO_ON = "go on"
     WAIT = "wait"
     PAUSE = "pause"
@@ -74,7 +74,7 @@
         return min(at * self.ratio, self.most_s) if at < self.most_s else at * self.ratio
 
 
-class Judged(msgspec.Struct, frozen=True):
+class JudgeSettings(msgspec.Struct, frozen=True):
     """Whether and how a change is judged.  ``watch_s`` is the length of the baseline."""
 
     on: bool = False
@@ -96,7 +96,7 @@
     before_s: float = 120.0  # length of the baseline if it is taken when the stage begins
 
 
-class World(msgspec.Struct, frozen=True):
+class Environment(msgspec.Struct, frozen=True):
     """Changes of the environment, by site, for which the rollout is not responsible.
 
     ``servers_lost`` is the share of the site's servers that are gone or cold compared with the baseline; ``traffic``
@@ -111,7 +111,7 @@
         return self.servers_lost.get(site, 0.0) > 0.05 or not 0.75 <= self.traffic.get(site, 1.0) <= 1.33
 
 
-LIMITS, UNCHANGED_WORLD = Limits(), World()
+LIMITS, UNCHANGED_ENVIRONMENT = Limits(), Environment()
 
 
 class Comparison(msgspec.Struct, frozen=True):
@@ -129,7 +129,7 @@
 class Verdict(msgspec.Struct, frozen=True):
     """The judge's decision.  ``more_s`` is the estimated time to wait; ``seen``: the figures, worst first."""
 
-    kind: Kind
+    kind: VerdictKind
     reason: str
     seen: tuple[Comparison, ...] = ()
     more_s: float = 0.0
--- a/headspar/rollout/record.py
+++ b/headspar/rollout/record.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from headspar.failpoints import failpoint
-from headspar.rollout.judge.before import Before
-from headspar.rollout.judge.terms import Comparison, Power, Verdict
+from headspar.rollout.judge.baseline import Baseline
+from headspar.rollout.judge.types import Comparison, Power, Verdict
 from headspar.rollout.lease import Lease
 from headspar.rollout.state import OVER, Cause, Change, Command, State
 
@@ -231,7 +231,7 @@
         rows = self.db.execute("SELECT body, began FROM change ORDER BY began").fetchall()
         return [(msgspec.json.decode(body, type=Change), float(began)) for body, began in rows]
 
-    def moved(self, epoch: int, change: Change, before: State, cause: Cause, now: float) -> None:
+    def record_transition(self, epoch: int, change: Change, before: State, cause: Cause, now: float) -> None:
         """Store a change's new state together with the transition."""
         with self._write(epoch) as db:
             db.execute("UPDATE change SET state = ?, body = ? WHERE id = ?",
@@ -247,21 +247,21 @@
 
     # ------------------------------------------------------------ the judge
 
-    def keep_before(self, epoch: int, change: str, before: Before, powers: list[Power], now: float) -> None:
+    def store_baseline(self, epoch: int, change: str, before: Baseline, powers: list[Power], now: float) -> None:
         """Store the baseline of a change and the power of its stages."""
         with self._write(epoch) as db:
             db.execute("INSERT OR REPLACE INTO before VALUES (?,?,?,?)",
                        (change, now, msgspec.json.encode(before), msgspec.json.encode(powers)))
 
-    def before(self, change: str) -> Before | None:
+    def baseline(self, change: str) -> Baseline | None:
         row = self.db.execute("SELECT body FROM before WHERE change = ?", (change,)).fetchone()
-        return None if row is None else msgspec.json.decode(row[0], type=Before)
+        return None if row is None else msgspec.json.decode(row[0], type=Baseline)
 
     def powers(self, change: str) -> list[Power]:
         row = self.db.execute("SELECT powers FROM before WHERE change = ?", (change,)).fetchone()
         return [] if row is None else msgspec.json.decode(row[0], type=list[Power])
 
-    def looked(self, epoch: int, change: Change, look: int, verdict: Verdict, now: float) -> None:
+    def record_look(self, epoch: int, change: Change, look: int, verdict: Verdict, now: float) -> None:
         with self._write(epoch) as db:
             db.execute("INSERT INTO look (change, stage, look, at, epoch, kind, reason, seen) "
                        "VALUES (?,?,?,?,?,?,?,?)",
--- a/headspar/rollout/report.py
+++ b/headspar/rollout/report.py
@@ -15,7 +15,7 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
-from headspar.rollout.judge.terms import Power
+from headspar.rollout.judge.types import Power
 from headspar.rollout.record import Look, Record, Step, Transition
 from headspar.rollout.state import Change, State
 
--- a/headspar/rollout/rehearsal.py
+++ b/headspar/rollout/simulation.py
@@ -63,7 +63,7 @@
 class Node:
     """A machine: a keeper's core, its fence and its processes."""
 
-    def __init__(self, world: Rehearsal, name: str, site: str) -> None:
+    def __init__(self, world: Simulation, name: str, site: str) -> None:
         self.world, self.name, self.site = world, name, site
         self.rng = random.Random(f"{world.seed}/{name}")
         self.fence = Fence()
@@ -175,7 +175,7 @@
         return assessment.ok, self.status()
 
 
-class Rehearsal:
+class Simulation:
     """A fleet, a change, and a succession of controllers."""
 
     def __init__(self, nodes: int, sites: int, seed: int, faults: Faults, limits: Limits,
@@ -197,7 +197,7 @@
         self.open: dict[str, tuple[int, Command]] = {}
         self.try_times: dict[str, float] = {}
         self.director = Director(self.change, self.sites, 0.0)
-        self.most_moving = self.most_of_site = self.over = 0
+        self.most_moving = self.most_of_site = self.limit_violations = 0
         self.controller_back_at = 0.0
 
     def later(self, seconds: float, call: Callable[..., None], *arguments: Any) -> None:
@@ -311,7 +311,7 @@
         most = max(by_site.values(), default=0)
         self.most_moving = max(self.most_moving, len(moving))
         self.most_of_site = max(self.most_of_site, most)
-        self.over += len(moving) > self.limits.most or most > self.limits.most_of_site
+        self.limit_violations += len(moving) > self.limits.most or most > self.limits.most_of_site
 
     def settled(self) -> bool:
         """Return whether every node serves its present generation and none is on trial."""
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -17,7 +17,7 @@
 from headspar.keeper.core import Order
 from headspar.keeper.messages import Status
 from headspar.keeper.slots import Slot
-from headspar.rollout.judge.terms import Judged, Kind, Verdict
+from headspar.rollout.judge.types import JudgeSettings, Verdict, VerdictKind
 from headspar.rollout.limits import DisruptionBudget, Limits, NodeCondition
 
 
@@ -94,7 +94,7 @@
     silence: Literal["back", "hold"] = "hold"
     silence_s: float = 60.0
     restart: bool = True
-    judge: Judged = Judged()
+    judge: JudgeSettings = JudgeSettings()
 
 
 class Change(msgspec.Struct):
@@ -291,9 +291,9 @@
     def _judge_decision(self) -> Decision | None:
         """Return the decision to stop if the judge's verdict demands it, else None."""
         verdict = self.verdict
-        if not self.is_judged or verdict is None or verdict.kind not in (Kind.BACK, Kind.PAUSE):
+        if not self.is_judged or verdict is None or verdict.kind not in (VerdictKind.BACK, VerdictKind.PAUSE):
             return None
-        back = verdict.kind is Kind.BACK and self.change.ways.on_failure == "back"
+        back = verdict.kind is VerdictKind.BACK and self.change.ways.on_failure == "back"
         return Decision(cause=C.FAILED if back else C.FAILED_PAUSE, why=f"judge: {verdict.reason}", judged=True)
 
     def _failure_reason(self, clock: float) -> str:
@@ -391,7 +391,7 @@
                 return Decision(waits=f"{name} is {status.state}")
         if clock - change.since < change.ways.settle_s:
             return Decision(waits="the stage is settling")
-        if self.is_judged and (self.verdict is None or self.verdict.kind is not Kind.GO_ON):
+        if self.is_judged and (self.verdict is None or self.verdict.kind is not VerdictKind.GO_ON):
             return Decision(waits=f"judge: {self.verdict.reason if self.verdict is not None else 'no figures yet'}")
         is_last = change.stage + 1 >= len(change.stages)
         return Decision(cause=C.LAST if is_last else C.NEXT)
--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -20,7 +20,7 @@
 from headspar.world.comeback import Comeback, blow_of, comeback
 from headspar.world.comebacks import Blow, scenario
 from headspar.world.scenario import Discovery, Fault, Scenario, check
-from tests.rollout.runs import a_turn, until
+from tests.rollout.runs import run_slot, until
 
 S = 1_000_000
 AT_S = 4.0
@@ -48,7 +48,7 @@
     """A run that the lab can vouch for, and what it shows; a busy machine may need more than one."""
     for i in range(3):
         # One at a time, in the place of a change of twelve nodes, of which two may run beside it.
-        with a_turn("comeback", 1), a_turn():
+        with run_slot("comeback", 1), run_slot():
             result, run = run_scripted(s, 1, dir / str(i), script, relayed)
         if result.verdict.valid:
             break
--- a/tests/lab/test_kept.py
+++ b/tests/lab/test_kept.py
@@ -10,7 +10,7 @@
 
 from headspar.lab import kept
 from headspar.lab.kept import KeptRun
-from tests.rollout.runs import judged
+from tests.rollout.runs import run_checked
 
 
 def test_a_slow_disk_does_not_make_discovery_late(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -29,6 +29,6 @@
         while len(set(written)) < len(run.nodes):
             await asyncio.sleep(0.02)
 
-    result, _ = judged(script, tmp_path, nodes=3, seconds=4.0)
+    result, _ = run_checked(script, tmp_path, nodes=3, seconds=4.0)
     discovery = next(x for x in result.recording.lateness if x.part == "discovery")
     assert discovery.most < 600_000
--- a/tests/rollout/judge/test_judge.py
+++ b/tests/rollout/judge/test_judge.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from headspar.rollout.judge.before import taken
+from headspar.rollout.judge.baseline import take_baseline
 from headspar.rollout.judge.compare import (
     NodeDelta,
     Spread,
@@ -25,9 +25,9 @@
     value,
     within_group_spread,
 )
-from headspar.rollout.judge.intake import MAX_PROCESSES, Intake, Reading
 from headspar.rollout.judge.power import minimum_detectable_harm, powers
-from headspar.rollout.judge.terms import Kind, Limits, World
+from headspar.rollout.judge.readings import MAX_PROCESSES, Intake, Reading
+from headspar.rollout.judge.types import Environment, Limits, VerdictKind
 from tests.rollout.judge.world import BEFORE_S, Fleet, Harm
 
 # ---------------------------------------------------------------- intake
@@ -39,8 +39,8 @@
 
 def test_what_a_node_did_is_the_difference_of_its_readings() -> None:
     i = Intake()
-    assert i.take(reading(100, 1000), 0.0)  # counts before the first reading cannot be dated
-    assert i.take(reading(101, 1040), 1.0) and i.take(reading(102, 1090), 2.0)
+    assert i.add(reading(100, 1000), 0.0)  # counts before the first reading cannot be dated
+    assert i.add(reading(101, 1040), 1.0) and i.add(reading(102, 1090), 2.0)
     assert i.sums("n0", 0.0, 2.0) == {"spans": 2.0, "taken": 90.0}
     assert i.sums("n0", 1.0, 2.0)["taken"] == 50.0 and i.sums("n0", 0.0, 0.5)["spans"] == 0.0
 
@@ -48,19 +48,19 @@
 def test_a_reading_that_comes_twice_late_or_out_of_order_moves_nothing() -> None:
     i = Intake()
     for up, count, now in ((100, 0, 0.0), (101, 10, 1.0), (103, 30, 3.0)):
-        i.take(reading(up, count), now)
-    assert not i.take(reading(103, 30), 3.5) and not i.take(reading(102, 20), 4.0)
-    i.take(reading(104, 40), 5.0)
+        i.add(reading(up, count), now)
+    assert not i.add(reading(103, 30), 3.5) and not i.add(reading(102, 20), 4.0)
+    i.add(reading(104, 40), 5.0)
     assert i.sums("n0", 0.0, 9.0)["taken"] == 40.0 and i.rejected == {"duplicate or out of order": 2}
 
 
 def test_a_restart_sets_counts_to_nothing_and_a_late_word_of_the_process_before_is_passed_over() -> None:
     i = Intake()
-    i.take(reading(100, 500), 0.0)
-    i.take(reading(101, 510), 1.0)
-    i.take(reading(2, 8, "p1"), 3.0)
-    assert not i.take(reading(102, 520, "p0"), 4.0)
-    i.take(reading(4, 20, "p1"), 5.0)
+    i.add(reading(100, 500), 0.0)
+    i.add(reading(101, 510), 1.0)
+    i.add(reading(2, 8, "p1"), 3.0)
+    assert not i.add(reading(102, 520, "p0"), 4.0)
+    i.add(reading(4, 20, "p1"), 5.0)
     assert i.sums("n0", 0.0, 9.0) == {"spans": 5.0, "taken": 30.0}
     assert i.starts("n0", 0.0) == 1 and i.sums("n0", 0.0, 9.0, min_age_s=1.0)["taken"] == 22.0
 
@@ -71,7 +71,7 @@
     i, now = Intake(), 0.0
     for process, up, count in rows:
         now += rng.random()
-        i.take(reading(up, float(count), f"p{process}"), now)
+        i.add(reading(up, float(count), f"p{process}"), now)
     sums = i.sums("n0", -1e9, 1e9)
     assert all(v >= 0 for v in sums.values())
     assert not i.nodes or len(i.nodes["n0"].past_processes) <= MAX_PROCESSES
@@ -80,7 +80,7 @@
 def test_figures_that_are_none_are_passed_over() -> None:
     i = Intake()
     for bad in (reading(1, float("nan")), reading(1, -1), reading(float("nan"), 1), reading(1, 1e300)):
-        assert not i.take(bad, 0.0)
+        assert not i.add(bad, 0.0)
     assert i.silent_s("n0", 5.0) == float("inf") and i.rejected == {"invalid figures": 4}
 
 
@@ -148,7 +148,7 @@
 
 
 def test_a_harmless_change_goes_on_and_is_not_taken_back() -> None:
-    seen = kinds(8, shams=3)
+    seen = kinds(8, placebos=3)
     assert seen["take back"] == 0 and seen["go on"] >= 6, seen
 
 
@@ -166,8 +166,8 @@
 def test_a_harm_is_seen_and_named(harm: Harm, reason: str) -> None:
     for seed in range(4):
         new = 2 if harm.neighbours else 3
-        verdict, at = Fleet(seed=seed, harm=harm, new=new, shams=3 if new == 3 else 0).play()
-        assert verdict.kind is Kind.BACK and at <= 60, (seed, verdict.reason)
+        verdict, at = Fleet(seed=seed, harm=harm, new=new, placebos=3 if new == 3 else 0).play()
+        assert verdict.kind is VerdictKind.BACK and at <= 60, (seed, verdict.reason)
         text = verdict.reason + " ".join(s.figure for s in verdict.seen if s.low > 0 and s.harm >= s.margin)
         assert any(word in text for word in reason.split("|")), text
 
@@ -183,39 +183,39 @@
         since = {n: 20.0 if n in fleet.changed else 23.0 for n in fleet.names if fleet.site[n] == "a"}
         fleet.lost = partial(_after, since)
         verdict, _ = fleet.play()
-        assert verdict.kind is not Kind.BACK, verdict.reason
+        assert verdict.kind is not VerdictKind.BACK, verdict.reason
 
 
 def test_a_version_that_is_worse_in_one_site_alone_is_seen_though_better_in_the_mean() -> None:
     for seed in range(4):
         verdict, _ = Fleet(seed=seed, new=6, harm=Harm(late=0.15, site="b"), limits=Limits(most_s=400)).play()
-        assert verdict.kind is Kind.BACK, verdict.reason
+        assert verdict.kind is VerdictKind.BACK, verdict.reason
 
 
 def test_a_version_that_turns_bad_after_minutes_is_seen_while_the_stage_lasts() -> None:
     for seed in range(3):
-        fleet = Fleet(seed=seed, shams=3, harm=Harm(refused=0.08, from_s=240), limits=Limits(least_s=400))
+        fleet = Fleet(seed=seed, placebos=3, harm=Harm(refused=0.08, from_s=240), limits=Limits(least_s=400))
         verdict, at = fleet.play()
-        assert verdict.kind is Kind.BACK and 240 < at, verdict.reason
+        assert verdict.kind is VerdictKind.BACK and 240 < at, verdict.reason
 
 
 def test_a_leak_is_taken_back_before_its_limit_and_a_table_that_fills_is_not() -> None:
     limits = Limits(memory_mb=140.0, least_s=200.0)
     for seed in range(4):
-        verdict, at = Fleet(seed=seed, shams=3, harm=Harm(leak_mb_min=1.0), limits=limits).play()
-        assert verdict.kind is Kind.BACK and "memory" in verdict.reason and at < 300
-        verdict, _ = Fleet(seed=seed, shams=3, limits=limits).play()
+        verdict, at = Fleet(seed=seed, placebos=3, harm=Harm(leak_mb_min=1.0), limits=limits).play()
+        assert verdict.kind is VerdictKind.BACK and "memory" in verdict.reason and at < 300
+        verdict, _ = Fleet(seed=seed, placebos=3, limits=limits).play()
         assert "memory" not in verdict.reason
 
 
 def test_a_world_that_changes_for_all_is_not_held_against_the_change() -> None:
     for seed in range(4):
-        burst = Fleet(seed=seed, shams=3, load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
+        burst = Fleet(seed=seed, placebos=3, load=lambda site, t: 1.5 if 30 < t < 60 else 1.0,
                       trouble=lambda site, t: 0.15 if 30 < t < 60 else 0.0)
-        assert burst.play()[0].kind is not Kind.BACK
-        release = Fleet(seed=seed, shams=3, trouble=lambda site, t: 0.2 if site == "b" and t > 20 else 0.0,
-                        world=World(servers_lost={"b": 0.2}))
-        assert release.play()[0].kind is not Kind.BACK
+        assert burst.play()[0].kind is not VerdictKind.BACK
+        release = Fleet(seed=seed, placebos=3, trouble=lambda site, t: 0.2 if site == "b" and t > 20 else 0.0,
+                        world=Environment(servers_lost={"b": 0.2}))
+        assert release.play()[0].kind is not VerdictKind.BACK
 
 
 def test_both_kinds_are_looked_at_in_the_same_seconds() -> None:
@@ -228,7 +228,7 @@
         def trouble(site: str, t: float) -> float:
             return 0.15 if since < t < until else 0.0
 
-        return sum(Fleet(seed=s, shams=3, trouble=trouble).play(60)[0].kind is Kind.BACK for s in range(8))
+        return sum(Fleet(seed=s, placebos=3, trouble=trouble).play(60)[0].kind is VerdictKind.BACK for s in range(8))
 
     assert back(30, 60) + back(-1, 14) <= 1
 
@@ -236,9 +236,9 @@
 def test_a_site_that_dies_is_not_blamed_on_its_changed_nodes_and_silent_changed_nodes_are() -> None:
     for seed in range(3):
         verdict, _ = Fleet(seed=seed, new=6, dead=lambda site, t: site == "a" and t > 20).play()
-        assert verdict.kind is not Kind.BACK, verdict.reason
+        assert verdict.kind is not VerdictKind.BACK, verdict.reason
         verdict, at = Fleet(seed=seed, lost=lambda node, t: node in ("n000", "n001") and t > 12).play()
-        assert verdict.kind is Kind.BACK and "not reported figures" in verdict.reason and 12 < at < 30
+        assert verdict.kind is VerdictKind.BACK and "not reported figures" in verdict.reason and 12 < at < 30
 
 
 def test_figures_that_come_late_or_twice_change_no_verdict() -> None:
@@ -253,15 +253,16 @@
 
     for seed in range(3):
         held.clear()
-        assert Fleet(seed=seed, shams=3, twist=twist).play()[0].kind is not Kind.BACK
+        assert Fleet(seed=seed, placebos=3, twist=twist).play()[0].kind is not VerdictKind.BACK
         held.clear()
-        assert Fleet(seed=seed, shams=3, twist=twist, harm=Harm(refused=0.06)).play()[0].kind is Kind.BACK
+        assert Fleet(seed=seed, placebos=3, twist=twist, harm=Harm(refused=0.06)).play()[0].kind is VerdictKind.BACK
 
 
 def test_harm_to_neighbours_pauses_where_servers_have_died_there_too() -> None:
-    fleet = Fleet(new=2, harm=Harm(neighbours=0.06), world=World(servers_lost={"a": 0.2}))
+    fleet = Fleet(new=2, harm=Harm(neighbours=0.06), world=Environment(servers_lost={"a": 0.2}))
     verdict, _ = fleet.play()
-    assert verdict.kind is Kind.PAUSE and "servers or traffic of a have changed, which may be" in verdict.reason
+    assert (verdict.kind is VerdictKind.PAUSE
+            and "servers or traffic of a have changed, which may be" in verdict.reason)
 
 
 def test_the_plan_says_what_a_stage_shows_by_its_end_not_when_it_first_shows_the_margin() -> None:
@@ -273,8 +274,9 @@
         fleet, intake = Fleet(nodes=12, sites=1), Intake()
         for at, rows in fleet.before():
             for row in rows:
-                intake.take(row, at)
-        found = powers(taken(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)], Limits(by_class=(), most_s=most))
+                intake.add(row, at)
+        found = powers(take_baseline(intake, 0.0, BEFORE_S - 2), [sorted(fleet.changed)],
+                       Limits(by_class=(), most_s=most))
         (p,) = (p for p in found if p.figure == "refused")
         assert p.least is not None and p.needs_s is not None
         return p.least, p.needs_s
@@ -288,15 +290,16 @@
     for most in (100.0, 200.0):
         margin = tuple(msgspec.structs.replace(f, margin=1e-6) for f in Limits().figures)
         verdict, at = Fleet(limits=Limits(figures=margin, by_class=(), most_s=most)).play()
-        assert verdict.kind is Kind.PAUSE and at == most
+        assert verdict.kind is VerdictKind.PAUSE and at == most
     assert Limits(most_s=50.0).next_look(40.0) == 50.0 and Limits(most_s=50.0).next_look(50.0) == 65.0
 
 
 def test_two_nodes_can_tell_little_and_say_so() -> None:
     verdict, _ = Fleet(nodes=2, sites=1, new=1, limits=Limits(most_s=120)).play()
-    assert verdict.kind in (Kind.PAUSE, Kind.GO_ON) or verdict.more_s > 0
+    assert verdict.kind in (VerdictKind.PAUSE, VerdictKind.GO_ON) or verdict.more_s > 0
     verdict, _ = Fleet(nodes=1, sites=1, new=1, limits=Limits(most_s=60)).play()
-    assert verdict.kind is Kind.GO_ON and "no unchanged node is left" in verdict.reason  # as in every last stage
+    # As in every last stage.
+    assert verdict.kind is VerdictKind.GO_ON and "no unchanged node is left" in verdict.reason
 
 
 def test_what_a_stage_could_see_shrinks_with_nodes_and_is_endless_without_a_yardstick() -> None:
--- a/tests/rollout/judge/world.py
+++ b/tests/rollout/judge/world.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from headspar.rollout.judge.intake import Intake, Reading
 from headspar.rollout.judge.judge import Judge
-from headspar.rollout.judge.terms import Kind, Limits, Stage, Verdict, World
+from headspar.rollout.judge.readings import Intake, Reading
+from headspar.rollout.judge.types import Environment, Limits, Stage, Verdict, VerdictKind
 
 BEFORE_S = 120.0
 CLASSES = {"look": 0.5, "pay": 0.5}
@@ -41,7 +41,7 @@
     """A synthetic fleet; t is in seconds since the stage began.
 
     ``load(site, t)`` is the traffic relative to normal, and ``trouble(site, t)`` the share of answers that are late
-    for reasons other than the change.  ``shams`` is the number of placebo nodes, which restart unchanged.
+    for reasons other than the change.  ``placebos`` is the number of placebo nodes, which restart unchanged.
     """
 
     nodes: int = 12
@@ -50,7 +50,7 @@
     seed: int = 1
     rps: float = 40.0
     skew: float = 0.3
-    shams: int = 0
+    placebos: int = 0
     harm: Harm = field(default_factory=Harm)
     limits: Limits = field(default_factory=Limits)
     load: Callable[[str, float], float] = lambda site, t: 1.0
@@ -58,7 +58,7 @@
     dead: Callable[[str, float], bool] = lambda site, t: False
     lost: Callable[[str, float], bool] = lambda node, t: False
     twist: Callable[[random.Random, list[Reading]], list[Reading]] = lambda rng, rows: rows
-    world: World = field(default_factory=World)
+    world: Environment = field(default_factory=Environment)
 
     def __post_init__(self) -> None:
         self.names = [f"n{i:03}" for i in range(self.nodes)]
@@ -70,7 +70,7 @@
         self.pace = {n: rng.gauss(8.0, 0.4) for n in self.names}  # time to answer, in quarters of an octave
         order = self.names[:]
         self.changed = frozenset(order[: self.new])
-        self.sham = frozenset(order[self.new : self.new + self.shams])
+        self.placebo_nodes = frozenset(order[self.new : self.new + self.placebos])
 
     def before(self) -> Iterator[tuple[float, list[Reading]]]:
         """Yield the readings of each second before the stage begins."""
@@ -92,11 +92,11 @@
         process = {n: f"{n}-0" for n in self.names}
         memory = dict.fromkeys(self.names, 100.0)
         judge: Judge | None = None
-        verdict, t = Verdict(Kind.WAIT, ""), -BEFORE_S
+        verdict, t = Verdict(VerdictKind.WAIT, ""), -BEFORE_S
         while t < seconds:
             t += 1.0
             if t == 0.0:
-                for n in [*self.changed, *self.sham]:
+                for n in [*self.changed, *self.placebo_nodes]:
                     process[n], up[n], counts[n] = f"{n}-1", 0.0, {}
             rows = []
             for n in self.names:
@@ -109,12 +109,12 @@
                     rows.append(Reading(n, self.site[n], generation, process[n], up[n], dict(counts[n]),
                                         {"memory_mb": memory[n] + rng.gauss(0, 0.5)}))
             for r in self.twist(rng, rows):
-                intake.take(r, t)
+                intake.add(r, t)
             if t == 0.0:
-                judge = Judge(intake, Stage(0.0, self.changed, "new", self.sham, BEFORE_S - 2), self.limits)
+                judge = Judge(intake, Stage(0.0, self.changed, "new", self.placebo_nodes, BEFORE_S - 2), self.limits)
             if judge is not None and t > 0:
                 verdict = judge.look(t, self.world)
-                if verdict.kind is not Kind.WAIT:
+                if verdict.kind is not VerdictKind.WAIT:
                     break
         return verdict, t
 
--- a/tests/rollout/runs.py
+++ b/tests/rollout/runs.py
@@ -19,8 +19,8 @@
 from headspar.lab import kept_log
 from headspar.lab.kept import KeptRun, Script, run_kept
 from headspar.lab.run import Result
+from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
-from headspar.rollout.host import send
 from headspar.rollout.record import Record, Step
 from headspar.rollout.state import Change, State
 from headspar.world.scenario import Scenario, parse
@@ -67,7 +67,7 @@
 
 
 @contextlib.contextmanager
-def a_turn(kind: str = "kept", at_once: int = AT_ONCE) -> Iterator[None]:
+def run_slot(kind: str = "kept", at_once: int = AT_ONCE) -> Iterator[None]:
     """Limit the concurrent runs of a kind on the machine, as each run has about thirty processes."""
     with contextlib.ExitStack() as stack:
         files = [
@@ -83,12 +83,12 @@
             time.sleep(0.1)
 
 
-def judged(script: Script, dir: Path, nodes: int = 12, seconds: float = 8.0, table: str = TABLE,
-           keeper_table: str = KEEPER, relayed: int = 0, rps: float = 60.0, judge: str = UNJUDGED,
-           ) -> tuple[Result, KeptRun]:
+def run_checked(script: Script, dir: Path, nodes: int = 12, seconds: float = 8.0, table: str = TABLE,
+                keeper_table: str = KEEPER, relayed: int = 0, rps: float = 60.0, judge: str = UNJUDGED,
+                ) -> tuple[Result, KeptRun]:
     """Return a run that the lab considers valid; on a busy machine it may take three attempts."""
     for i in range(3):
-        with a_turn():
+        with run_slot():
             result, run = run_kept(scenario(nodes, seconds, rps), 1, dir / str(i), script, table + judge,
                                    keeper_table, relayed)
         if result.verdict.valid:
--- a/tests/rollout/test_hard_cases.py
+++ b/tests/rollout/test_hard_cases.py
@@ -20,11 +20,11 @@
     change,
     ended,
     events,
-    judged,
     lead,
     new_line,
     planted,
     record,
+    run_checked,
     settled,
     start,
     starts,
@@ -75,7 +75,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path, table=WIDE)
+    _, run = run_checked(script, tmp_path, table=WIDE)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
     most, of_site = runs.most_moving(run) if run.most_on_way() else (0, 0)
     assert most <= 6 and of_site <= 3
@@ -101,7 +101,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert steps_twice(run) == []
 
 
@@ -156,7 +156,7 @@
         # The epoch is above that of the dead controller, which might only have been paused: its messages are refused.
         assert all(s.epoch > fences[name][0] and s.step > fences[name][1] for name, s in found.items())
 
-    _, run = judged(script, tmp_path, seconds=12.0)
+    _, run = run_checked(script, tmp_path, seconds=12.0)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
 
 
@@ -181,7 +181,7 @@
         assert await ended(await start(run, folder, "c2")) == 1
         assert await settled(run, "new")
 
-    result, run = judged(script, tmp_path, 1, 14.0)
+    result, run = run_checked(script, tmp_path, 1, 14.0)
     assert not any(events(run, "keeper.moved", after="draining").values())
     assert result.verdict.served == result.verdict.taken
 
@@ -209,7 +209,7 @@
         assert end in (0, 1)  # a death while proving rolls the change back
         await until(lambda: settled(run, "new" if end == 0 else "old"))
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
     signalled = [row for rows in events(run, "keeper.signalled").values() for row in rows]
     assert {row["signal"] for row in signalled} <= {s.name for s in (signal.SIGTERM, signal.SIGKILL)}
@@ -245,7 +245,7 @@
         assert sum(s.held for s in servers) > 0 and sum(s.reset_ones for s in (*asked, *servers)) > 20
         assert sum(s.carried for s in asked) > 8
 
-    _, run = judged(script, tmp_path, seconds=12.0, relayed=4)
+    _, run = run_checked(script, tmp_path, seconds=12.0, relayed=4)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
     assert set(starts(run, "new").values()) == {1}
 
@@ -266,7 +266,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
 
 
@@ -290,7 +290,7 @@
         await ended(led)
         assert min(in_turns) >= len(names) - 2 > 0  # at most two are changing
 
-    _, run = judged(script, tmp_path, seconds=16.0)
+    _, run = run_checked(script, tmp_path, seconds=16.0)
     assert max(of_site for _, of_site in run.most_on_way()) <= 1
     assert max(n for n, _ in run.most_on_way()) <= 2
 
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -15,11 +15,11 @@
     JUDGED,
     change,
     ended,
-    judged,
     lead,
     new_line,
     planted,
     record,
+    run_checked,
     settled,
     start,
     starts,
@@ -52,7 +52,7 @@
         assert await ended(await start(run, folder, "c1")) == 1
         await until(lambda: settled(run, "old"))
 
-    _, run = judged(script, tmp_path, nodes=6, seconds=40.0, rps=120.0, judge=JUDGED)
+    _, run = run_checked(script, tmp_path, nodes=6, seconds=40.0, rps=120.0, judge=JUDGED)
     c = change(run)
     assert c.state is State.TAKEN_BACK and c.stage == 0
     why = next(m.why for m in record(run).moves("c1") if m.cause == "failed")
@@ -80,7 +80,7 @@
         assert await ended(await start(run, folder, "c1")) == 1
         await until(lambda: settled(run, "old"))
 
-    _, run = judged(script, tmp_path, nodes=6, seconds=40.0, rps=120.0, judge=JUDGED.replace(*margin))
+    _, run = run_checked(script, tmp_path, nodes=6, seconds=40.0, rps=120.0, judge=JUDGED.replace(*margin))
     c = change(run)
     assert c.state is State.TAKEN_BACK and c.stage == 0 and sum(starts(run, "new").values()) == 1
     worst = record(run).looks("c1")[-1].seen[0]
@@ -110,7 +110,7 @@
         down.extend(dying)
 
     down: list[str] = []
-    _, run = judged(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
+    _, run = run_checked(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
     assert len(down) == 2 and change(run).state is State.DONE
     assert not any(k.kind == "take back" for k in record(run).looks("c1"))
     assert runs.steps_twice(run) == []
@@ -132,7 +132,7 @@
         assert await ended(await lead(run), 120.0) == 0
         await until(lambda: settled(run, "new"))
 
-    result, run = judged(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
+    result, run = run_checked(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
     assert change(run).state is State.DONE and set(starts(run, "new").values()) == {1}
     looks = record(run).looks("c1")
     assert {k.stage for k in looks if k.kind == "go on"} == set(range(len(change(run).stages)))
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -21,19 +21,19 @@
 from headspar.keeper.state import decode, encode
 from headspar.lab.kept import KeptRun
 from headspar.lab.links import CUT, DEAF, WELL, Fault
+from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
-from headspar.rollout.host import send
 from headspar.rollout.state import State
 from tests.rollout import runs
 from tests.rollout.runs import (
     change,
     ended,
     events,
-    judged,
     lead,
     new_line,
     planted,
     record,
+    run_checked,
     settings_with,
     settled,
     start,
@@ -66,7 +66,7 @@
         assert await settled(run, "new")
 
     # The limits are one per site and four in total; there are three sites, so three at once.
-    result, run = judged(script, tmp_path, seconds=14.0, table=runs.TABLE.replace("max_out = 2", "max_out = 4"))
+    result, run = run_checked(script, tmp_path, seconds=14.0, table=runs.TABLE.replace("max_out = 2", "max_out = 4"))
     assert "'c1' is" in run.controller_log.read_text()
     assert set(starts(run, "new").values()) == {1} and change(run).state is State.DONE
     assert_clean(run)
@@ -104,7 +104,7 @@
         assert await ended(await lead(run)) == 0
         assert await settled(run, "new")
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert killed.count(-signal.SIGKILL) >= 6, killed
     assert set(starts(run, "new").values()) == {1} and change(run).state is State.DONE
     assert_clean(run)
@@ -130,7 +130,7 @@
         assert await ended(first) == 0
         assert await settled(run, "new")
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert change(run).state is State.DONE and set(starts(run, "new").values()) == {1}
     assert_clean(run)
 
@@ -148,7 +148,7 @@
         assert await ended(second) == 0
         assert await settled(run, "new")
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     fenced = [row for rows in events(run, "keeper.command", verdict="fenced").values() for row in rows]
     taken = [row for rows in events(run, "keeper.command", verdict="new").values() for row in rows]
     assert fenced and all(row["epoch"] == 1 for row in fenced)
@@ -192,7 +192,7 @@
                 counts[what] = counts.get(what, 0) + n
         assert {"lose", "twice"} <= counts.keys(), counts
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
     assert runs.false_acknowledgements(run, "c1") == []
     assert change(run).state is State.TAKEN_BACK
@@ -220,7 +220,7 @@
             await until(lambda: settled(run, "old"))
 
     table = runs.TABLE.replace("proving_s = 1.0", "proving_s = 4.0")
-    _, run = judged(script, tmp_path, table=table)
+    _, run = run_checked(script, tmp_path, table=table)
     assert {name: end for name, (end, _) in ends.items()} == {
         "no-start": 1, "dies": 1, "mute": 1, "turned-down": 1}, ends
     assert "did not start" in ends["no-start"][1] or "failed to start" in ends["no-start"][1]
@@ -260,7 +260,7 @@
         ends["after"] = await ended(await start(run, folder, "after"))  # its epoch and steps are raised above those
         assert record(run).holder()[1] > 90 and await settled(run, "after")
 
-    _, run = judged(script, tmp_path)
+    _, run = run_checked(script, tmp_path)
     assert ends == {"deaf": 1, "limits": 0, "after": 0}
     killed = [row for rows in events(run, "keeper.signalled", signal="SIGKILL").values() for row in rows]
     assert killed  # the process that ignores SIGTERM
@@ -273,7 +273,7 @@
         assert await ended(await start(run, folder, "c1")) == 0
         assert await settled(run, "new")
 
-    result, run = judged(script, tmp_path, seconds=16.0)
+    result, run = run_checked(script, tmp_path, seconds=16.0)
     assert_clean(run)
     # Whether a node is alone in its site depends on the draw; each one that is not was drained.
     drained = [rows for rows in events(run, "keeper.moved", table="phase", after="draining").values() if rows]
@@ -331,7 +331,7 @@
         await until(lambda: settled(run, "new" if end == 0 else "old"))
         assert len(died) >= 5, died
 
-    _, run = judged(script, tmp_path, seconds=12.0)
+    _, run = run_checked(script, tmp_path, seconds=12.0)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
 
 
@@ -387,7 +387,7 @@
         assert found_one is not None and found_one.epoch >= fences[names[0]]
 
     try:
-        _, run = judged(script, tmp_path, seconds=14.0)
+        _, run = run_checked(script, tmp_path, seconds=14.0)
     finally:
         stranger.kill()
         stranger.wait()
@@ -427,7 +427,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path, seconds=12.0, table=runs.TABLE + 'on_failure = "back"\n')
+    _, run = run_checked(script, tmp_path, seconds=12.0, table=runs.TABLE + 'on_failure = "back"\n')
     assert "No space left" in run.controller_log.read_text()
     assert strangers_signalled(run) == [] and steps_twice(run) == []
 
@@ -461,7 +461,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path, seconds=12.0)
+    _, run = run_checked(script, tmp_path, seconds=12.0)
     assert_clean(run)
 
 
@@ -506,7 +506,7 @@
         led.terminate()
         await ended(led)
 
-    _, run = judged(script, tmp_path, seconds=14.0)
+    _, run = run_checked(script, tmp_path, seconds=14.0)
     assert steps_twice(run) == [] and strangers_signalled(run) == []
 
 
@@ -525,7 +525,7 @@
         shown = await run.controller("plan", str(run.operator_path), str(folder), "--json")
         assert await ended(shown) == 0
 
-    _, run = judged(script, tmp_path, seconds=4.0)
+    _, run = run_checked(script, tmp_path, seconds=4.0)
     text = run.controller_log.read_text()
     assert "unreachable, and only 2 may be out" in text and "nothing done; --yes does it" in text
     assert set(starts(run, "old").values()) == {1}
@@ -541,7 +541,7 @@
         await until(lambda: settled(run, "old"))
 
     table = runs.TABLE + 'silence = "back"\nsilence_s = 2.0\nslot_s = 3.0\n'
-    _, run = judged(script, tmp_path, table=table)
+    _, run = run_checked(script, tmp_path, table=table)
     assert any(rows for rows in events(run, "keeper.moved", cause="silence").values())
     assert runs.most_moving(run)[1] == 1
 
--- a/tests/rollout/test_parts.py
+++ b/tests/rollout/test_parts.py
@@ -134,7 +134,7 @@
     assert other.acquire("two", 117.9, 10.0) is None
     assert other.acquire("two", 118.1, 10.0) == 2
     for write in (lambda: record.renew(1, 119.0, 10.0), lambda: record.intent(1, "c", Command("a1", "hold"), 119.0),
-                  lambda: record.moved(1, change(), State.PLANNED, Cause.START, 119.0),
+                  lambda: record.record_transition(1, change(), State.PLANNED, Cause.START, 119.0),
                   lambda: record.raise_epoch(1, 9, 9)):
         with pytest.raises(Fenced, match="two has 2"):
             write()
@@ -154,7 +154,7 @@
     with pytest.raises(Busy, match="'c1' is planned"):
         record.create(change("c2"), 2.0)
     first.state = State.DONE
-    record.moved(1, first, State.CONFIRMING, Cause.CONFIRMED, 3.0)
+    record.record_transition(1, first, State.CONFIRMING, Cause.CONFIRMED, 3.0)
     with pytest.raises(Busy, match="there has already been a change 'c1'"):
         record.create(change("c1"), 4.0)
     record.create(change("c2"), 4.0)
--- a/tests/rollout/test_rehearsal.py
+++ b/tests/rollout/test_rehearsal.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from headspar.rollout.limits import Limits
-from headspar.rollout.rehearsal import NEW, OLD, Faults, Rehearsal
+from headspar.rollout.simulation import NEW, OLD, Faults, Simulation
 from headspar.rollout.state import State
 
 LINKS = Faults(drop=0.1, lose=0.1, late=0.1, twice=0.1)
@@ -19,13 +19,13 @@
 
 
 def rehearse(faults: Faults, seed: int, nodes: int = 24, sites: int = 3, limits: Limits | None = None,
-             seconds: float = 900.0, settings_only: bool = False) -> Rehearsal:
-    world = Rehearsal(nodes, sites, seed, faults, limits or Limits(3, 1), settings_only)
+             seconds: float = 900.0, settings_only: bool = False) -> Simulation:
+    world = Simulation(nodes, sites, seed, faults, limits or Limits(3, 1), settings_only)
     world.run(seconds)
     return world
 
 
-def one_end(world: Rehearsal) -> bool:
+def one_end(world: Simulation) -> bool:
     """Return whether the fleet agrees with the record and no node is left on trial."""
     wanted = {State.DONE: NEW, State.TAKEN_BACK: OLD}[world.change.state]
     return world.settled() and world.running() == {wanted: len(world.nodes)}
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("settings_only", [False, True])
 def test_with_no_fault_every_node_is_changed_once(settings_only: bool) -> None:
     world = rehearse(Faults(), 1, settings_only=settings_only)
-    assert world.change.state is State.DONE and one_end(world) and world.over == 0
+    assert world.change.state is State.DONE and one_end(world) and world.limit_violations == 0
     started = [n.goal_starts for n in world.nodes.values()]
     assert sum(started) == (1 if settings_only else 24) and max(started) == 1  # the first stage also tests a start
     assert world.steps == 48  # a try and a confirm for each
@@ -49,7 +49,7 @@
 
 def _meets_one(bad: str, end: State, settings_only: bool) -> None:
     world = rehearse(Faults(bad=bad), 2, settings_only=settings_only)
-    assert world.change.state is end and one_end(world) and world.over == 0
+    assert world.change.state is end and one_end(world) and world.limit_violations == 0
     if end is State.TAKEN_BACK:
         assert sum(n.goal_starts > 0 for n in world.nodes.values()) == 1
 
@@ -59,7 +59,7 @@
     ends = set()
     for seed in range(25):
         world = rehearse(faults, seed)
-        assert world.over == 0, seed
+        assert world.limit_violations == 0, seed
         assert world.change.state is State.PERSON or one_end(world), (seed, world.change.state, world.running())
         for node in world.nodes.values():
             assert node.epochs == sorted(node.epochs), seed
@@ -70,13 +70,13 @@
 
 
 def test_a_controller_that_never_comes_back_leaves_a_fleet_that_goes_back_slot_by_slot() -> None:
-    world = Rehearsal(24, 3, 5, Faults(silence="back"), Limits(3, 1))
+    world = Simulation(24, 3, 5, Faults(silence="back"), Limits(3, 1))
     world.run(25.0)
     assert world.change.state in (State.STAGE, State.PROVING) and world.running().get(NEW, 0) >= 3
     world.controller_back_at = float("inf")
     world.run(400.0)
-    assert world.running() == {OLD: 24} and world.settled() and world.over == 0
-    held = Rehearsal(24, 3, 5, Faults(silence="hold"), Limits(3, 1))
+    assert world.running() == {OLD: 24} and world.settled() and world.limit_violations == 0
+    held = Simulation(24, 3, 5, Faults(silence="hold"), Limits(3, 1))
     held.run(25.0)
     changed = held.running()[NEW]
     held.controller_back_at = float("inf")
--- a/tests/rollout/test_report.py
+++ b/tests/rollout/test_report.py
@@ -15,14 +15,14 @@
 
 from headspar.cli import app
 from headspar.keeper import messages as m
+from headspar.rollout.controller import observe_fleet
 from headspar.rollout.fleet import Member
-from headspar.rollout.host import observe_fleet
-from headspar.rollout.judge.before import Before
-from headspar.rollout.judge.terms import Comparison, Judged, Kind, Limits, Power, Verdict
+from headspar.rollout.judge.baseline import Baseline
+from headspar.rollout.judge.types import Comparison, JudgeSettings, Limits, Power, Verdict, VerdictKind
 from headspar.rollout.record import Record
 from headspar.rollout.report import chart, closest_figures, collect, page, state_periods
 from headspar.rollout.state import Cause, Change, RolloutPolicy, State
-from tests.rollout.test_for_people import rollout_file
+from tests.rollout.test_cli import rollout_file
 from tests.versions.forms import GENERATION, filled
 
 run = CliRunner()
@@ -42,21 +42,21 @@
     def move(at: float, cause: Cause, state: State, stage: int, why: str = "") -> None:
         before = change.state
         change.state, change.stage, change.why = state, stage, why
-        record.moved(epoch, change, before, cause, at)
+        record.record_transition(epoch, change, before, cause, at)
 
-    def look(at: float, number: int, kind: Kind, reason: str, harm: float) -> None:
+    def look(at: float, number: int, kind: VerdictKind, reason: str, harm: float) -> None:
         seen = (Comparison("refused", harm, harm - 0.02, harm + 0.02, 0.05, 1, 2),
                 Comparison("late", 0.001, -0.5, 0.5, 0.05, 1, 2))
-        record.looked(epoch, change, number, Verdict(kind, reason, seen), at)
+        record.record_look(epoch, change, number, Verdict(kind, reason, seen), at)
 
     move(1001.0, Cause.START, State.STAGE, 0)
     move(1003.0, Cause.SERVED, State.PROVING, 0)
-    look(1010.0, 1, Kind.GO_ON, "no figure is worse", 0.0)
+    look(1010.0, 1, VerdictKind.GO_ON, "no figure is worse", 0.0)
     move(1011.0, Cause.NEXT, State.STAGE, 1)
-    look(1020.0, 1, Kind.BACK, REASON, 0.25)
+    look(1020.0, 1, VerdictKind.BACK, REASON, 0.25)
     move(1020.5, Cause.FAILED, State.BACK, 1, f"judge: {REASON}")
     move(1030.0, Cause.ALL_BACK, State.TAKEN_BACK, 1, f"judge: {REASON}")
-    record.keep_before(epoch, "c1", filled(Before), [Power(0, 1, 2, "refused", 0.05, None, None),
+    record.store_baseline(epoch, "c1", filled(Baseline), [Power(0, 1, 2, "refused", 0.05, None, None),
                                              Power(1, 3, 0, "refused", 0.05, 0.02, 31.0)], 1000.5)
     return record
 
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("silent", [0, 4])
 def test_what_each_stage_could_show_is_told_before_a_change(silent: int) -> None:
-    judge = Judged(True, 2.4, 0.1, Limits(most_s=600.0))
+    judge = JudgeSettings(True, 2.4, 0.1, Limits(most_s=600.0))
     ways = msgspec.structs.replace(filled(RolloutPolicy), judge=judge)
     change = msgspec.structs.replace(filled(Change), stages=[["a"], ["b", "c"], ["d", "e", "f"]], ways=ways)
     powers, why = asyncio.run(Fleet(silent).watch(change))
--- a/tests/versions/forms.py
+++ b/tests/versions/forms.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import hashlib
+import importlib
 import json
 import sys
 import tempfile
@@ -24,6 +25,21 @@
 NOW = 1_000_000
 
 
+def first_module(*names: str) -> Any:
+    """Return the first of these modules that there is; earlier versions have other names for some."""
+    for name in names[:-1]:
+        try:
+            return importlib.import_module(name)
+        except ModuleNotFoundError:
+            continue
+    return importlib.import_module(names[-1])
+
+
+def first_attribute(of: Any, *names: str) -> Any:
+    """Return the first of these attributes that ``of`` has; earlier versions have other names for some."""
+    return getattr(of, next((name for name in names if hasattr(of, name)), names[-1]))
+
+
 def filled(kind: Any) -> Any:
     """A value of a msgspec type with something in every field."""
     return msgspec.convert(_raw(inspect.type_info(kind), 0), kind)
@@ -143,16 +159,18 @@
         r.create(change, 10.0)
         epoch = r.acquire("c1", 11.0, 5.0)
         assert epoch is not None
-        r.moved(epoch, change, State.PLANNED, Cause.START, 12.0)
+        first_attribute(r, "record_transition", "moved")(epoch, change, State.PLANNED, Cause.START, 12.0)
         for say in ("fetch", "try"):
             number = r.intent(epoch, change.id, Command("n0", say, GENERATION), 13.0)
         r.outcome(epoch, number, "done", "as asked", 14.0)
         r.request(change.id, "pause", "a person", 15.0)
-        if hasattr(r, "keep_before"):
-            from headspar.rollout.judge.before import Before
-            from headspar.rollout.judge.terms import Power, Verdict
-            r.keep_before(epoch, change.id, filled(Before), [filled(Power)], 16.0)
-            r.looked(epoch, change, 1, filled(Verdict), 17.0)
+        if hasattr(r, "store_baseline") or hasattr(r, "keep_before"):
+            baselines = first_module("headspar.rollout.judge.baseline", "headspar.rollout.judge.before")
+            types = first_module("headspar.rollout.judge.types", "headspar.rollout.judge.terms")
+            baseline = filled(first_attribute(baselines, "Baseline", "Before"))
+            first_attribute(r, "store_baseline", "keep_before")(
+                epoch, change.id, baseline, [filled(types.Power)], 16.0)
+            first_attribute(r, "record_look", "looked")(epoch, change, 1, filled(types.Verdict), 17.0)
         text = "\n".join(r.db.iterdump())
         r.close()
     return text + "\n"
--- a/tests/versions/readers.py
+++ b/tests/versions/readers.py
@@ -121,7 +121,8 @@
     assert [step.outcome for step in record.steps(change.id)] == [None, "done"] and record.last_step == 2
     assert record.moves(change.id)[0].after == "stage under way" and len(record.requests(change.id)) == 1
     if "INSERT INTO \"look\"" in text and hasattr(record, "looks"):
-        assert record.before(change.id) and record.powers(change.id) and record.looks(change.id)[0].seen
+        baseline = forms.first_attribute(record, "baseline", "before")
+        assert baseline(change.id) and record.powers(change.id) and record.looks(change.id)[0].seen
     # And it is written on as one of this version.
     epoch = record.acquire("c2", 1e9, 5.0)
     assert epoch is not None and epoch > 1
