--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,10 +1,10 @@
-"""Changes in stages: controllers killed at drawn moments over real processes, what a change costs, and the rehearsal.
+"""Changes in stages: controllers killed at drawn moments over real processes, what a change costs, and simulations.
 
     python -m benchmarks.rollout --json                 # all of it, some ten minutes
     python -m benchmarks.rollout --kills 40 --orders 500
 
 ``rules_broken`` and ``lost`` are the audit's, over all runs that it can vouch for; a run that it can't counts in
-``invalid`` and is made once more.  ``over_limit_moments``: from the keepers' own log of times and from the rehearsal.
+``invalid`` and is made once more.  ``over_limit_moments``: from the keepers' own log of times and from simulations.
 """
 
 from __future__ import annotations
@@ -277,7 +277,7 @@
     parser.add_argument("--orders", type=int, default=10_000)
     parser.add_argument("--keep", type=Path, help="a folder for the logs of runs that passed a limit")
     parser.add_argument("--kills-alone", action="store_true", help="without what a change costs")
-    parser.add_argument("--large", type=int, default=2, help="rehearsals of 1,000 nodes")
+    parser.add_argument("--large", type=int, default=2, help="simulations of 1,000 nodes")
     args = parser.parse_args()
     sums, figures = Sums(args.keep), {}
     since = time.monotonic()
--- a/tests/keeper/test_commands.py
+++ b/tests/keeper/test_commands.py
@@ -102,11 +102,11 @@
 
 def test_a_later_epoch_is_written_down_though_it_only_says_that_it_is_there() -> None:
     host = Host(core())
-    touch = m.Heartbeat(node="n", epoch=3, clock=7.0)
-    assert host.handle(touch) == (True, "") and host.fence.epoch == 3 and len(host.written) == 1
-    assert host.handle(touch) == (True, "") and len(host.written) == 1
+    heartbeat = m.Heartbeat(node="n", epoch=3, clock=7.0)
+    assert host.handle(heartbeat) == (True, "") and host.fence.epoch == 3 and len(host.written) == 1
+    assert host.handle(heartbeat) == (True, "") and len(host.written) == 1
     assert host.handle(TRY)[1].startswith("epoch 2 has expired")
-    assert check_command(touch, "n", host.fence, host.core, lambda _: True, False).verdict is Verdict.NEW
+    assert check_command(heartbeat, "n", host.fence, host.core, lambda _: True, False).verdict is Verdict.NEW
 
 
 def test_a_trial_of_another_change_can_be_replaced_confirmed_and_taken_back() -> None:
