--- a/headspar/cli.py
+++ b/headspar/cli.py
@@ -20,8 +20,8 @@
 
 from headspar import comeback_report as cr
 from headspar import operator_file
+from headspar.commands import check_output_folders, error_exit, scenario_names
 from headspar.commands import scenario as scenario_of
-from headspar.commands import scenario_names, stop, writable
 from headspar.events import table as events_table
 from headspar.fleet import cli as fleet_cli
 from headspar.keeper import cli as keeper_cli
@@ -62,11 +62,11 @@
         with tempfile.TemporaryDirectory(prefix="headspar-lab-") as dir:
             return run_scenario(s, seed, Path(dir), on_progress)
     except RunError as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
     except OSError as error:
-        raise stop(f"{error.filename or 'run'}: {error.strerror or error}", 4) from None
+        raise error_exit(f"{error.filename or 'run'}: {error.strerror or error}", 4) from None
     except KeyboardInterrupt:
-        raise stop("interrupted; all processes of the run were stopped", 130) from None
+        raise error_exit("interrupted; all processes of the run were stopped", 130) from None
 
 
 def _finish(result: Result, json_to: Path | None, report_to: Path | None, picture_to: Path | None) -> None:
@@ -90,7 +90,7 @@
     try:
         operator = operator_file.load(file)
     except operator_file.OperatorError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     for name, value, default in operator_file.settings_rows(operator):
         print(f"{name} = {value}" + ("" if value == default else f"  (default {default})"))
 
@@ -118,8 +118,8 @@
     """Run a scenario with real node processes and audit the run."""
     s = scenario_of(scenario, nodes)
     if record and keep is None:
-        raise stop("--record: needs --keep DIR, the folder that the records are written to", 2)
-    writable(json_to, report_to, picture_to, keep)
+        raise error_exit("--record: needs --keep DIR, the folder that the records are written to", 2)
+    check_output_folders(json_to, report_to, picture_to, keep)
     console = Console(stderr=str(json_to) == "-")
     if s.length_s < PROGRESS_BAR_MIN_LENGTH_S:
         result = _run(s, seed, keep, None, record)
@@ -149,7 +149,7 @@
 
     Reports the time to full service, what delayed it, thundering herds and decisions on stale lists.  Each seed is
     played twice: without the node failures, and with them."""
-    writable(keep)
+    check_output_folders(keep)
 
     def play(s: Scenario, seed: int) -> cr.Drawn:
         results = []
@@ -159,7 +159,7 @@
                 try:
                     results.append(run_scenario(s, seed, run_dir, struck=struck))
                 except RunError as error:
-                    raise stop(str(error), 4) from None
+                    raise error_exit(str(error), 4) from None
         without, result = results
         c = comeback(result.recording, without.recording, s.discovery.calls_per_s)
         return cr.Drawn(seed, c, result.verdict, result.service.whole, without.service.whole)
@@ -184,11 +184,11 @@
 ) -> None:
     """Chart a node's estimates of its servers, and their true state if the lab's records are in the same folder."""
     to = picture_to if picture_to is not None else file.with_name(file.name + ".png")
-    writable(to)
+    check_output_folders(to)
     try:
         name, rows, recording = explain.load(file)
     except explain.ExplainError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     explain.text(name, rows, Console())
     to.write_bytes(explain.picture(name, rows, recording))
     print(f"picture: {to}")
@@ -208,7 +208,7 @@
 ) -> None:
     """Run three nodes and nine cash servers through the due-date peak, in which 23% of the servers fail together."""
     s = scenario_of("due-date", None)
-    writable(json_to, report_to, picture_to, keep)
+    check_output_folders(json_to, report_to, picture_to, keep)
     console = Console(stderr=str(json_to) == "-")
     before: dict[str, Any] = {}
     with Live(console=console, refresh_per_second=4, transient=True) as screen:
--- a/headspar/comeback_report.py
+++ b/headspar/comeback_report.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.world.audit import Verdict
 from headspar.world.comeback import CAUSES, Comeback, Spread, Summary, summary
 from headspar.world.comebacks import Blow, scenario
@@ -53,7 +53,7 @@
 def blow(kind: str, **fields: Any) -> Blow:
     """The mass failure that the options describe.  Exits with status 2 for an unknown kind."""
     if kind not in KINDS:
-        raise stop(f"--kind: must be one of {', '.join(KINDS)}, not {kind!r}", 2)
+        raise error_exit(f"--kind: must be one of {', '.join(KINDS)}, not {kind!r}", 2)
     return Blow(kind=KINDS[kind], **fields)
 
 
@@ -64,7 +64,7 @@
         try:
             s = scenario(failure, seed)
         except ScenarioError as error:
-            raise stop(str(error), 2) from None
+            raise error_exit(str(error), 2) from None
         rows.append(play(s, seed))
         c = rows[-1].comeback
         full = "not reached" if c.full_s is None else f"after {c.full_s:.1f} s"
@@ -180,7 +180,7 @@
 
 def whole(failure: Blow, seeds: range, play: Play, json_to: Path | None, picture_to: Path | None) -> None:
     """Run the command.  Exit status 0: no rule violated; 1: a rule violated; 3: a run without a valid verdict."""
-    writable(json_to, picture_to)
+    check_output_folders(json_to, picture_to)
     console = Console(stderr=str(json_to) == "-")
     rows = run_draws(failure, seeds, play, console)
     s = print_report(rows, failure, console)
--- a/headspar/fleet/cli.py
+++ b/headspar/fleet/cli.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.fleet.count import Count, CountError, FleetCounter
 from headspar.recorder.file import lines, rotated_path
 from headspar.recorder.line import LineError, Reader
@@ -93,16 +93,16 @@
 ) -> None:
     """Compute a fleet's statistics from its nodes' flight records: time to full service, peaks, figures by second.
     Exits with status 2 and a one-line message if a file is not a flight record."""
-    writable(json_to)
+    check_output_folders(json_to)
     counter = FleetCounter()
     try:
         for path in logs:
             read_into(counter, path)
         result = counter.count()
     except OSError as error:
-        raise stop(f"{error.filename}: {error.strerror}", 2) from None
+        raise error_exit(f"{error.filename}: {error.strerror}", 2) from None
     except (LineError, CountError) as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     data = msgspec.json.encode(result)
     if str(json_to) == "-":
         print(data.decode())
--- a/headspar/keeper/host.py
+++ b/headspar/keeper/host.py
@@ -20,15 +20,16 @@
 from headspar.failpoints import failpoint
 from headspar.identity import NO_HANDOVER, boot_id, settings_digest
 from headspar.keeper import messages as m
-from headspar.keeper import processes, words
-from headspar.keeper.calls import Address, call, healthy
+from headspar.keeper import processes
+from headspar.keeper.backoff import BackoffSettings, RestartBackoff
+from headspar.keeper.commands import apply_command, check_command
 from headspar.keeper.core import (
     Action,
     Core,
     Course,
     Drain,
+    DurableState,
     Kill,
-    Lasting,
     Phase,
     Proc,
     Reload,
@@ -39,7 +40,7 @@
 )
 from headspar.keeper.fence import Fence
 from headspar.keeper.generations import GenerationError, Store, digest
-from headspar.keeper.pauses import Pauses, PauseSettings
+from headspar.keeper.node_client import Address, call, healthy
 from headspar.keeper.processes import Handle
 from headspar.keeper.state import ProcessRecord, Saved, StateError, StateFile
 from headspar.operator_file import KeeperTable
@@ -115,10 +116,10 @@
         except OSError as error:
             raise HostError(f"{error.filename}: {error.strerror}") from None
         self.state = StateFile(self.folder)
-        pauses = Pauses(PauseSettings(table.pause_s, table.ceiling_s, table.spread_s, table.healthy_s),
-                        random.Random())
+        backoff = RestartBackoff(BackoffSettings(table.pause_s, table.ceiling_s, table.spread_s, table.healthy_s),
+                                 random.Random())
         timing = Timing(table.start_s, table.drain_s, table.end_s)
-        self.core = Core(timing, pauses, self.store.only_settings, self._log_transition)
+        self.core = Core(timing, backoff, self.store.only_settings, self._log_transition)
         self.fence = Fence()
         self.node_processes: dict[int, NodeProcess] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -154,10 +155,10 @@
         server.close()
         for task in list(self.tasks):
             task.cancel()
-        self.events.say("keeper.stopped", name=self.machine.name)
+        self.events.emit("keeper.stopped", name=self.machine.name)
 
     def _log_transition(self, table: str, before: str, cause: str, after: str) -> None:
-        self.events.say("keeper.moved", table=table, before=before, cause=cause, after=after)
+        self.events.emit("keeper.moved", table=table, before=before, cause=cause, after=after)
 
     async def _recover(self) -> None:
         """Continue from the state on disk and from the identity that the node reports."""
@@ -166,9 +167,9 @@
         try:
             saved = self.state.read()
         except StateError as error:
-            self.events.say("keeper.state_lost", why=str(error))
+            self.events.emit("keeper.state_lost", why=str(error))
         epoch, step = self.state.read_fence()
-        lasting = saved.lasting if saved is not None else Lasting()
+        durable = saved.lasting if saved is not None else DurableState()
         self.fence = saved.fence if saved is not None else Fence()
         known = {(k.pid, k.started): k for k in (saved.processes if saved is not None else [])}
         for ops in self.machine.ops:
@@ -182,32 +183,32 @@
         if (epoch, step) > (self.fence.epoch, self.fence.step):
             answer = self.fence.answer if step == self.fence.step else None
             self.fence = Fence(max(epoch, self.fence.epoch), max(step, self.fence.step), answer)
-        procs, serving, coming = [], None, None
+        procs, serving, starting = [], None, None
         answering = [k for k in known.values() if k.role == "serving" and k.ready]
         for number, k in enumerate(known.values(), 1):
             handle = Handle.find(k.pid, k.started, k.boot)
             if isinstance(handle, str):
                 if handle != "gone":
-                    self.events.say("keeper.not_ours", pid=k.pid, why=handle)
+                    self.events.emit("keeper.not_ours", pid=k.pid, why=handle)
                 continue
-            self.events.say("keeper.process_found", pid=k.pid, generation=k.generation, ready=k.ready)
+            self.events.emit("keeper.process_found", pid=k.pid, generation=k.generation, ready=k.ready)
             process = NodeProcess(number, handle, k.generation, k.ops)
             self.node_processes[number] = process
             procs.append(Proc(number, k.generation, now, now if k.ready else -1.0))
             if k.ready and k.role == "serving" and (serving is None or k is answering[-1]):
                 serving = number
             elif k.role == "coming":
-                coming = number
+                starting = number
             self._watch(process)
-        if serving is None and coming is None and procs:  # runs without answering: treat it as starting
-            coming = procs[-1].key
-        if not lasting.present and not procs:
-            lasting.present = self._first_generation()
-        if coming is not None:
-            self._spawn(self._wait_until_ready(self.node_processes[coming]))
-        self.core.resume(lasting, procs, serving, coming, now)
-        self.events.say("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
-                        state=self.core.state)
+        if serving is None and starting is None and procs:  # runs without answering: treat it as starting
+            starting = procs[-1].key
+        if not durable.present and not procs:
+            durable.present = self._first_generation()
+        if starting is not None:
+            self._spawn(self._wait_until_ready(self.node_processes[starting]))
+        self.core.resume(durable, procs, serving, starting, now)
+        self.events.emit("keeper.started", name=self.machine.name, pid=os.getpid(), found=len(procs),
+                         state=self.core.state)
         self._execute(self.core.advance(now))
 
     async def _identify(self, ops: str) -> dict[str, Any]:
@@ -287,19 +288,19 @@
             failpoint("keeper.acted")
 
     def _signal(self, process: NodeProcess, number: signal.Signals) -> None:
-        self.events.say("keeper.signalled", pid=process.handle.pid, signal=number.name)
+        self.events.emit("keeper.signalled", pid=process.handle.pid, signal=number.name)
         process.handle.signal(number)
 
     def _saved(self) -> Saved:
         core = self.core
         rows = []
         for key, r in self.node_processes.items():
-            role = "serving" if key == core.serving else "coming" if key == core.coming else ""
+            role = "serving" if key == core.serving else "coming" if key == core.starting else ""
             proc = core.procs.get(key)
             rows.append(ProcessRecord(
                 r.handle.pid, r.handle.started, boot_id(), proc.generation if proc else r.generation,
                 r.ops, role, proc is not None and proc.ready >= 0))
-        return Saved(core.lasting, self.fence, rows)
+        return Saved(core.durable, self.fence, rows)
 
     def _save(self) -> bool:
         """Write the state; on failure returns False and logs the first one in a row."""
@@ -307,7 +308,7 @@
             self.state.write(self._saved())
         except OSError as error:
             if not self.disk_failed:
-                self.events.say("keeper.disk", what="state", why=error.strerror or str(error))
+                self.events.emit("keeper.disk", what="state", why=error.strerror or str(error))
             self.disk_failed = True
             return False
         self.disk_failed = False
@@ -356,7 +357,7 @@
             env = self._environment(action.generation, ops, action.beside)
             handle = processes.prepare([sys.executable, "-m", "headspar"], env, self.folder / "run", log)
         except (OSError, GenerationError, HostError) as error:
-            self.events.say("keeper.disk", what="start", why=str(error))
+            self.events.emit("keeper.disk", what="start", why=str(error))
             asyncio.get_running_loop().call_soon(self._ended, action.key, 1, now)
             return
         process = NodeProcess(action.key, handle, action.generation, ops)
@@ -364,7 +365,7 @@
         failpoint("keeper.spawned")
         self._save()
         processes.release(handle)
-        self.events.say("keeper.process_started", pid=handle.pid, generation=action.generation, beside=action.beside)
+        self.events.emit("keeper.process_started", pid=handle.pid, generation=action.generation, beside=action.beside)
         self._watch(process)
         process.task = self._spawn(self._wait_until_ready(process))
 
@@ -379,7 +380,7 @@
         if process.task is not None:
             process.task.cancel()
         self.node_processes.pop(process.key, None)
-        self.events.say("keeper.process_ended", pid=process.handle.pid, generation=process.generation, status=status)
+        self.events.emit("keeper.process_ended", pid=process.handle.pid, generation=process.generation, status=status)
         self._ended(process.key, status, time.monotonic())
 
     def _ended(self, key: int, status: int, now: float) -> None:
@@ -387,7 +388,7 @@
 
     async def _wait_until_ready(self, process: NodeProcess) -> None:
         """Poll a starting process until its health check passes."""
-        while process.key in self.node_processes and self.core.coming == process.key:
+        while process.key in self.node_processes and self.core.starting == process.key:
             with contextlib.suppress(OSError):
                 if (await call(process.address, "/healthcheck"))[0] == 200:
                     found = await self._identify(process.ops)
@@ -410,7 +411,7 @@
                 if time.monotonic() - since > self.table.drain_s / 2 and stats.get("concurrent") == 0:
                     break
                 await asyncio.sleep(READINESS_POLL_S)
-        self._execute(self.core.drained_(process.key, time.monotonic()))
+        self._execute(self.core.drain_finished(process.key, time.monotonic()))
 
     async def _undrain(self, process: NodeProcess) -> None:
         with contextlib.suppress(OSError):
@@ -434,10 +435,10 @@
                 await asyncio.sleep(READINESS_POLL_S)
         except (OSError, GenerationError, HostError, KeyError, ValueError) as error:
             why = str(error)
-        self.events.say("keeper.settings", generation=generation, taken=taken, why="" if taken else why)
+        self.events.emit("keeper.settings", generation=generation, taken=taken, why="" if taken else why)
         if not taken:  # the file must contain the settings in force, since the next start reads it
             with contextlib.suppress(OSError, GenerationError, HostError):
-                self._configure(self.core.running or self.core.lasting.present)
+                self._configure(self.core.running or self.core.durable.present)
         self._execute(self.core.reloaded(process.key, taken, why, time.monotonic()))
 
     # ------------------------------------------------------------ timers
@@ -478,7 +479,7 @@
         elif self.silent_since < 0:
             self.silent_since = now
         elif now - self.silent_since > UNRESPONSIVE_S and key == self.core.serving:
-            self.events.say("keeper.silent", pid=process.handle.pid, seconds=now - self.silent_since)
+            self.events.emit("keeper.silent", pid=process.handle.pid, seconds=now - self.silent_since)
             self._execute(self.core.unresponsive(key, now))
 
     def _update_figures(self, stats: dict[str, Any], pid: int) -> None:
@@ -523,15 +524,15 @@
         """The status of this keeper and its node."""
         core, now = self.core, time.monotonic()
         self.serial += 1
-        order, pid = core.lasting.order, 0
+        order, pid = core.durable.order, 0
         if core.serving is not None and core.serving in self.node_processes:
             pid = self.node_processes[core.serving].handle.pid
         return m.Status(
             self.machine.name, self.machine.site, core.state, core.course.value,
-            core.lasting.present, core.lasting.before, core.trial,
+            core.durable.present, core.durable.before, core.trial,
             order.change if order is not None else "", core.running, core.proved(now),
-            order is not None and order.silence == "hold", core.lasting.deaths, core.restarts, self.fence.epoch,
-            self.fence.step, core.lasting.outcome,
+            order is not None and order.silence == "hold", core.durable.deaths, core.restarts, self.fence.epoch,
+            self.fence.step, core.durable.outcome,
             self.store.names(), self.silent_since < 0 and core.serving is not None,
             min(1e9, now - self.figures_at), self.figures, pid, str(self.identity.get("program", "")),
             str(self.identity.get("settings", "")), bool(self.fetching), self.began, self.serial,
@@ -544,27 +545,27 @@
 
     async def take(self, message: m.Message) -> m.Reply:
         """Handle one message and return the reply.  A command's effect is on disk before the reply is sent."""
-        if isinstance(message, m.Ask):
+        if isinstance(message, m.QueryStatus):
             return m.Reply(True, "", self.status())
-        if isinstance(message, m.Measure):
+        if isinstance(message, m.QueryWork):
             return await self._measure()
         down = self.core.serving is None or self._silent_for() > m.DOWN_S
-        assessment = words.weigh(message, self.machine.name, self.fence, self.core, self.store.has, down)
-        if not isinstance(message, m.Touch) or not assessment.ok:
-            self.events.say("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
-                            step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
+        assessment = check_command(message, self.machine.name, self.fence, self.core, self.store.has, down)
+        if not isinstance(message, m.Heartbeat) or not assessment.ok:
+            self.events.emit("keeper.command", say=str(type(message).__struct_config__.tag), epoch=message.epoch,
+                             step=assessment.step, verdict=assessment.verdict.value, why=assessment.why)
         now = time.monotonic()
         if assessment.counts:
             before = self.fence
             failpoint("keeper.taken")
-            self.fence = words.take(message, assessment, before, self.core, now, self._save_with_fence)
+            self.fence = apply_command(message, assessment, before, self.core, now, self._save_with_fence)
             if self.fence is before:
                 return m.Reply(False, "the state could not be written to disk", self.status())
             failpoint("keeper.kept")
             self._execute(self.core.advance(now))
             failpoint("keeper.done")
         elif assessment.ok:
-            self.core.heard(message.clock, now)
+            self.core.record_contact(message.clock, now)
         if assessment.ok and isinstance(message, m.Fetch):
             return await self._fetch(message)
         return m.Reply(assessment.ok, assessment.why, self.status())
@@ -602,7 +603,7 @@
         self.fetching = message.generation
         why = ""
         try:
-            wanted = {message.generation, self.core.lasting.present, self.core.lasting.before, self.core.trial,
+            wanted = {message.generation, self.core.durable.present, self.core.durable.before, self.core.trial,
                       *(p.generation for p in self.core.procs.values())}
             await asyncio.to_thread(self.store.remove_others, wanted)
             await asyncio.to_thread(self.store.fetch, Path(message.path), message.generation)
@@ -610,5 +611,5 @@
             why = str(error)
         finally:
             self.fetching = ""
-        self.events.say("keeper.fetched", generation=message.generation, taken=not why, why=why)
+        self.events.emit("keeper.fetched", generation=message.generation, taken=not why, why=why)
         return m.Reply(not why, why, self.status())
--- a/headspar/model/kept.py
+++ b/headspar/model/kept.py
@@ -6,7 +6,7 @@
 
 from headspar.handover.beliefs import Beliefs
 from headspar.interface import Experience, Settings
-from headspar.snapshot.ages import Header, Here, Taken, take
+from headspar.snapshot.expiry import Header, LocalIdentity, Restored, restore
 
 LYING = "lying"  # a snapshot whose figures are inverted
 OTHER = "other"  # the snapshot of the next node
@@ -26,11 +26,13 @@
     return replace(beliefs, experience=inverted, learned=learned)
 
 
-def accepted_part(mode: str, beliefs: Beliefs, of: str, made_at: int, me: str, settings: Settings, now: int) -> Taken:
+def accepted_part(
+    mode: str, beliefs: Beliefs, of: str, made_at: int, me: str, settings: Settings, now: int,
+) -> Restored:
     """Returns the part that node ``me`` accepts at ``now`` of the snapshot that node ``of`` wrote at ``made_at``.
 
     Both times are microseconds of the run's clock.  ``mode`` is one of ``MODES``."""
     age = AGES.get(mode, 0.0)
     header = Header(of, settings.zone, "settings", made_at - int(age * 1e6), 0)
-    here = Here(me, settings.zone, "settings", now, 0, {c.name: float(c.aim_us) for c in settings.classes})
-    return take(header, invert(beliefs) if mode == LYING else beliefs, here)
+    here = LocalIdentity(me, settings.zone, "settings", now, 0, {c.name: float(c.aim_us) for c in settings.classes})
+    return restore(header, invert(beliefs) if mode == LYING else beliefs, here)
--- a/headspar/rollout/cli.py
+++ b/headspar/rollout/cli.py
@@ -26,18 +26,18 @@
 from rich.text import Text
 
 from headspar import failpoints, operator_file
-from headspar.commands import stop, writable
+from headspar.commands import check_output_folders, error_exit
 from headspar.events import Events
-from headspar.keeper.cli import rows
+from headspar.keeper.cli import status_table
 from headspar.keeper.generations import GenerationError, digest
 from headspar.keeper.messages import Status
-from headspar.keeper.slots import deal
+from headspar.keeper.slots import assign_slots
 from headspar.operations.ledger import PER_OCTAVE
 from headspar.operator_file import JudgeTable, Operator, OperatorError, RolloutTable, parse_shares
+from headspar.rollout.controller import Controller, observe_fleet, poll_statuses
 from headspar.rollout.fleet import FleetError, Member, load
-from headspar.rollout.host import Controller, ask_all, observe_fleet
-from headspar.rollout.judge.terms import BY_CLASS, FIGURES, Judged, Power
-from headspar.rollout.judge.terms import Limits as JudgeLimits
+from headspar.rollout.judge.types import BY_CLASS, FIGURES, JudgeSettings, Power
+from headspar.rollout.judge.types import Limits as JudgeLimits
 from headspar.rollout.limits import Limits
 from headspar.rollout.record import Busy, Fenced, Record, RecordError
 from headspar.rollout.stages import Candidate
@@ -60,23 +60,23 @@
         table = operator.rollout
         for name in ("record", "fleet"):
             if not getattr(table, name):
-                raise stop(f"{file}: rollout.{name}: not set", 2)
+                raise error_exit(f"{file}: rollout.{name}: not set", 2)
         failpoints.arm(os.environ)
         return operator, load(Path(table.fleet)), Record(Path(table.record))
     except (OperatorError, FleetError, failpoints.FailpointError) as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     except RecordError as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
 
 
-def judge_settings(table: JudgeTable, lost_s: float) -> Judged:
+def judge_settings(table: JudgeTable, lost_s: float) -> JudgeSettings:
     """Return the judge's settings with the operators' margins."""
     margins = [table.served, table.refused, table.failed, table.late, table.attempts, table.handshakes, table.cpu,
                PER_OCTAVE * log2(1.0 + table.time)]
     figures = tuple(replace(f, margin=margin) for f, margin in zip(FIGURES, margins, strict=True))
     by_class = tuple(replace(f, margin=getattr(table, key)) for f, key in zip(
         BY_CLASS, ("class_refused", "class_failed"), strict=True))
-    return Judged(table.on, table.watch_s, table.every_s, JudgeLimits(
+    return JudgeSettings(table.on, table.watch_s, table.every_s, JudgeLimits(
         figures, by_class, table.error, table.least_s, table.most_s, table.settle_s, table.first_s,
         lost_s=lost_s, memory_mb=table.memory_mb, restarts=table.restarts))
 
@@ -101,15 +101,15 @@
     try:
         goal = digest(folder)
     except GenerationError as error:
-        raise stop(str(error), 2) from None
+        raise error_exit(str(error), 2) from None
     present = [s.present for s in statuses.values() if s is not None and s.present]
     before = max(set(present), key=present.count) if present else ""
     nodes = [
         Candidate(m.name, m.site, s.figures.rate if (s := statuses[m.name]) is not None else 0.0) for m in members
     ]
     sites = {m.name: m.site for m in members}
-    slots = deal([m.name for m in members], sites, table.max_out, table.max_out_site, table.slot_s,
-                 random.Random(name))
+    slots = assign_slots([m.name for m in members], sites, table.max_out, table.max_out_site, table.slot_s,
+                         random.Random(name))
     stages = plan_stages(nodes, parse_shares(table.shares) or [1.0])
     objections = []
     if goal == before:
@@ -150,13 +150,13 @@
 ) -> None:
     """Show the stages of a change and the objections to it, without doing anything."""
     operator, members, _ = setup(file)
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     change, objections = plan_change(operator, members, statuses, name, folder)
     powers: list[Power] = []
     if watch:
         powers, reason = asyncio.run(observe_fleet(members, replace(change.ways.judge, watch_s=watch), change))
         if reason:
-            raise stop(f"--watch: {reason}", 1)
+            raise error_exit(f"--watch: {reason}", 1)
     if as_json:
         print_json({"change": change, "against": objections, "powers": powers})
     else:
@@ -176,19 +176,19 @@
     """Start a change and lead it to its end."""
     operator, members, record = setup(file)
     table = operator.rollout
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     change, objections = plan_change(operator, members, statuses, name, folder)
     if objections and not anyway or not yes:
         Console(stderr=as_json).print(show_plan(change, objections, statuses))
         if objections and not anyway:
-            raise stop("not started; --anyway starts it despite the objections", 1)
-        raise stop("nothing done; --yes does it", 0)
+            raise error_exit("not started; --anyway starts it despite the objections", 1)
+        raise error_exit("nothing done; --yes does it", 0)
     try:
         record.create(change, time.time())
     except Busy as error:
-        raise stop(str(error), 1) from None
+        raise error_exit(str(error), 1) from None
     except OSError as error:
-        raise stop(f"{table.record}: {error.strerror}", 4) from None
+        raise error_exit(f"{table.record}: {error.strerror}", 4) from None
     _lead(table, members, record, stay, as_json)
 
 
@@ -214,14 +214,14 @@
             live.start()
         change = asyncio.run(controller.run())
     except Fenced as error:
-        raise stop(str(error), 4) from None
+        raise error_exit(str(error), 4) from None
     except OSError as error:
-        raise stop(f"{error.filename or table.record}: {error.strerror or error}", 4) from None
+        raise error_exit(f"{error.filename or table.record}: {error.strerror or error}", 4) from None
     finally:
         if live is not None:
             live.stop()
     if change is None:
-        raise stop("there is no change", 1)
+        raise error_exit("there is no change", 1)
     _print_change(change, as_json)
     raise typer.Exit(END.get(change.state, 0))
 
@@ -269,7 +269,7 @@
     """Show the current or last change, and every node."""
     _, members, record = setup(file)
     found = record.latest()
-    statuses = asyncio.run(ask_all(members))
+    statuses = asyncio.run(poll_statuses(members))
     holder, epoch, until = record.holder()
     leader = holder if until > time.time() else ""
     if as_json:
@@ -278,7 +278,7 @@
     if found is not None:
         _print_change(found[0], False)
         print(f"led by {leader}, epoch {epoch}" if leader else f"no controller leads it; last epoch {epoch}")
-    Console().print(rows(statuses))
+    Console().print(status_table(statuses))
 
 
 @app.command()
@@ -299,26 +299,26 @@
             raise typer.Exit(END[change.state])
         time.sleep(seconds)
     if as_json:
-        raise stop("there is no change", 1)
+        raise error_exit("there is no change", 1)
     with Live(refresh_per_second=4) as live:
         while (found := record.latest()) is not None:
-            statuses = asyncio.run(ask_all(members))
+            statuses = asyncio.run(poll_statuses(members))
             change = found[0]
             head = f"change {change.id}: {change.state.value}, stage {change.stage + 1} of {len(change.stages)}"
-            live.update(Group(Text(f"{head} {change.why}"), rows(statuses)))
+            live.update(Group(Text(f"{head} {change.why}"), status_table(statuses)))
             if change.state in OVER:
                 raise typer.Exit(END[change.state])
             time.sleep(seconds)
-    raise stop("there is no change", 1)
+    raise error_exit("there is no change", 1)
 
 
 def _request(file: Path, what: str, yes: bool, as_json: bool) -> None:
     _, _, record = setup(file)
     found = record.latest()
     if found is None or found[0].state in OVER:
-        raise stop("no change is under way", 1)
+        raise error_exit("no change is under way", 1)
     if not yes:
-        raise stop(f"nothing done; --yes asks the controller to {what} change {found[0].id!r}", 0)
+        raise error_exit(f"nothing done; --yes asks the controller to {what} change {found[0].id!r}", 0)
     by = f"{os.environ.get('USER', 'uid')} {os.getuid()}"
     record.request(found[0].id, what, by, time.time())
     holder, _, until = record.holder()
@@ -363,15 +363,15 @@
     """Write an HTML page about a change: its stages over time, the looks of the judge, and the transitions."""
     from headspar.rollout.report import collect, page  # its libraries take a second to load
 
-    writable(out)
+    check_output_folders(out)
     _, _, record = setup(file)
     found = collect(record, name)
     if found is None:
-        raise stop(f"there has been no change {name!r}", 1)
+        raise error_exit(f"there has been no change {name!r}", 1)
     try:
         out.write_text(page(found))
     except OSError as error:
-        raise stop(f"{out}: {error.strerror}", 2) from None
+        raise error_exit(f"{out}: {error.strerror}", 2) from None
 
 
 @app.command()
@@ -394,7 +394,7 @@
     moves, steps, looks = record.moves(name), record.steps(name), record.looks(name)
     powers = record.powers(name)
     if not moves and not steps:
-        raise stop(f"there has been no change {name!r}", 1)
+        raise error_exit(f"there has been no change {name!r}", 1)
     if as_json:
         print_json({"moves": moves, "steps": steps, "looks": looks, "powers": powers})
         return
--- a/headspar/rollout/state.py
+++ b/headspar/rollout/state.py
@@ -17,7 +17,7 @@
 from headspar.keeper.core import Order
 from headspar.keeper.messages import Status
 from headspar.keeper.slots import Slot
-from headspar.rollout.judge.terms import Judged, Kind, Verdict
+from headspar.rollout.judge.types import JudgeSettings, Verdict, VerdictKind
 from headspar.rollout.limits import DisruptionBudget, Limits, NodeCondition
 
 
@@ -94,7 +94,7 @@
     silence: Literal["back", "hold"] = "hold"
     silence_s: float = 60.0
     restart: bool = True
-    judge: Judged = Judged()
+    judge: JudgeSettings = JudgeSettings()
 
 
 class Change(msgspec.Struct):
@@ -141,17 +141,17 @@
     down: bool = False  # valid only while the node serves no requests
 
 
-def command_message(command: Command, epoch: int, clock: float, step: int) -> m.Word:
+def command_message(command: Command, epoch: int, clock: float, step: int) -> m.KeeperCommand:
     """Return the message to the keeper for a command that has an effect (any but a fetch)."""
     head: dict[str, Any] = {"node": command.node, "epoch": epoch, "clock": clock, "step": step}
     if command.say == "try":
         assert command.order is not None
-        return m.Try(order=command.order, down=command.down, **head)
+        return m.StartTrial(order=command.order, down=command.down, **head)
     if command.say == "hold":
-        return m.Hold(generation=command.generation, **head)
+        return m.PinTrial(generation=command.generation, **head)
     if command.say == "confirm":
         return m.Confirm(generation=command.generation, **head)
-    return m.Back(generation=command.generation, reason=command.reason, down=command.down, **head)
+    return m.RollBack(generation=command.generation, reason=command.reason, down=command.down, **head)
 
 
 class Decision(msgspec.Struct):
@@ -291,9 +291,9 @@
     def _judge_decision(self) -> Decision | None:
         """Return the decision to stop if the judge's verdict demands it, else None."""
         verdict = self.verdict
-        if not self.is_judged or verdict is None or verdict.kind not in (Kind.BACK, Kind.PAUSE):
+        if not self.is_judged or verdict is None or verdict.kind not in (VerdictKind.BACK, VerdictKind.PAUSE):
             return None
-        back = verdict.kind is Kind.BACK and self.change.ways.on_failure == "back"
+        back = verdict.kind is VerdictKind.BACK and self.change.ways.on_failure == "back"
         return Decision(cause=C.FAILED if back else C.FAILED_PAUSE, why=f"judge: {verdict.reason}", judged=True)
 
     def _failure_reason(self, clock: float) -> str:
@@ -391,7 +391,7 @@
                 return Decision(waits=f"{name} is {status.state}")
         if clock - change.since < change.ways.settle_s:
             return Decision(waits="the stage is settling")
-        if self.is_judged and (self.verdict is None or self.verdict.kind is not Kind.GO_ON):
+        if self.is_judged and (self.verdict is None or self.verdict.kind is not VerdictKind.GO_ON):
             return Decision(waits=f"judge: {self.verdict.reason if self.verdict is not None else 'no figures yet'}")
         is_last = change.stage + 1 >= len(change.stages)
         return Decision(cause=C.LAST if is_last else C.NEXT)
--- a/headspar/snapshot/cli.py
+++ b/headspar/snapshot/cli.py
@@ -16,9 +16,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from headspar.commands import stop, writable
-from headspar.snapshot.ages import FIELDS, Here, take
-from headspar.snapshot.form import Snapshot
+from headspar.commands import check_output_folders, error_exit
+from headspar.snapshot.expiry import FIELDS, LocalIdentity, restore
+from headspar.snapshot.format import Snapshot
 from headspar.snapshot.store import Store
 
 app = typer.Typer(no_args_is_help=True, help="Inspect the learned state that a node keeps on its disk.")
@@ -28,14 +28,14 @@
 
 def _store(folder: Path) -> Store:
     if not folder.is_dir():
-        raise stop(f"{folder}: there is no such folder", 2)
+        raise error_exit(f"{folder}: there is no such folder", 2)
     return Store(folder)
 
 
 def _newest(folder: Path) -> Snapshot:
     newest, errors = _store(folder).newest()
     if newest is None:
-        raise stop(f"{folder}: {'; '.join(errors) or 'no snapshot found'}", 1)
+        raise error_exit(f"{folder}: {'; '.join(errors) or 'no snapshot found'}", 1)
     return newest
 
 
@@ -60,7 +60,7 @@
                   f"number {row['serial']}, of {row['name']} in {row['site']}, {row['age_s']} s old, "
                   f"{row['servers']} servers"))
     if not any("serial" in row for row in rows):
-        raise stop(f"{folder}: no usable snapshot", 1)
+        raise error_exit(f"{folder}: no usable snapshot", 1)
 
 
 @app.command()
@@ -74,14 +74,16 @@
     """Show, field by field, how much a node would restore from the newest snapshot now."""
     newest = _newest(folder)
     h, aims = newest.header, {cls: 1e12 for cls in newest.beliefs.experience.classes}
-    here = Here(name or h.name, site or h.site, settings or h.settings, time.time_ns() // 1000, h.offset_us, aims)
-    taken = take(h, newest.beliefs, here)
+    here = LocalIdentity(name or h.name, site or h.site, settings or h.settings, time.time_ns() // 1000, h.offset_us,
+                         aims)
+    taken = restore(h, newest.beliefs, here)
     if as_json:
         sys.stdout.write(json.dumps({
-            "whose": taken.whose.value, "age_s": taken.age_s, "weights": taken.weights, "notes": taken.notes}) + "\n")
+            "whose": taken.origin.value, "age_s": taken.age_s, "weights": taken.weights, "notes": taken.notes,
+        }) + "\n")
         return
     age = "of unknown age" if taken.age_s is None else f"{taken.age_s:.0f} s old"
-    table = Table(box=None, header_style="bold", title=f"{taken.whose.value}, {age}", title_justify="left")
+    table = Table(box=None, header_style="bold", title=f"{taken.origin.value}, {age}", title_justify="left")
     for title in ("field", "weight", "source", "fallback"):
         table.add_column(title)
     for field, weight in taken.weights.items():
@@ -96,12 +98,12 @@
     folder: FolderArgument, out: Annotated[Path, typer.Option("--out", help="The file to write (JSON).")],
 ) -> None:
     """Write the newest snapshot as JSON, for inspection only: nodes can't import it."""
-    writable(out)
+    check_output_folders(out)
     newest = _newest(folder)
     try:
         out.write_text(json.dumps(asdict(newest), indent=1) + "\n")
     except OSError as error:
-        raise stop(f"{out}: {error.strerror}", 2) from None
+        raise error_exit(f"{out}: {error.strerror}", 2) from None
 
 
 @app.command()
@@ -112,12 +114,12 @@
     """Delete the snapshots, so that the next start restores nothing.  Refused while a node writes to the folder."""
     store = _store(folder)
     if not yes:
-        raise stop(f"{folder}: {len(store.read_all())} files would be deleted; --yes does it", 0)
+        raise error_exit(f"{folder}: {len(store.read_all())} files would be deleted; --yes does it", 0)
     try:
         if not store.claim():
-            raise stop(f"{folder}: in use by a running node; stop it first", 1)
+            raise error_exit(f"{folder}: in use by a running node; stop it first", 1)
         print(f"{store.delete_all()} files deleted")
     except OSError as error:
-        raise stop(f"{folder}: {error.strerror}", 2) from None
+        raise error_exit(f"{folder}: {error.strerror}", 2) from None
     finally:
         store.release()
--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -20,7 +20,7 @@
 from headspar.world.comeback import Comeback, comeback, failure_time
 from headspar.world.comebacks import Blow, scenario
 from headspar.world.scenario import Discovery, Fault, Scenario, check
-from tests.rollout.runs import a_turn, until
+from tests.rollout.runs import run_slot, until
 
 S = 1_000_000
 AT_S = 4.0
@@ -50,7 +50,7 @@
     """Run the scenario and check its audit.  Retries twice, because a busy machine may give an invalid verdict."""
     for i in range(3):
         # One run at a time; it takes the turn of a rollout of twelve nodes, two of which may run in parallel.
-        with a_turn("comeback", 1), a_turn():
+        with run_slot("comeback", 1), run_slot():
             result, run = run_scripted(s, 1, dir / str(i), script, relayed)
         if result.verdict.valid:
             break
--- a/tests/versions/forms.py
+++ b/tests/versions/forms.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import hashlib
+import importlib
 import json
 import sys
 import tempfile
@@ -24,6 +25,16 @@
 NOW = 1_000_000
 
 
+def first_module(*names: str) -> Any:
+    """The first of these modules that exists; earlier versions have earlier names."""
+    for name in names[:-1]:
+        try:
+            return importlib.import_module(name)
+        except ModuleNotFoundError:
+            continue
+    return importlib.import_module(names[-1])
+
+
 def first_of(holder: Any, *names: str) -> Any:
     """The attribute of ``holder`` under the first of these names that it has; earlier versions have earlier names."""
     for name in names:
@@ -151,16 +162,18 @@
         r.create(change, 10.0)
         epoch = r.acquire("c1", 11.0, 5.0)
         assert epoch is not None
-        r.moved(epoch, change, State.PLANNED, Cause.START, 12.0)
+        first_of(r, "record_transition", "moved")(epoch, change, State.PLANNED, Cause.START, 12.0)
         for say in ("fetch", "try"):
             number = r.intent(epoch, change.id, Command("n0", say, GENERATION), 13.0)
         r.outcome(epoch, number, "done", "as asked", 14.0)
         r.request(change.id, "pause", "a person", 15.0)
-        if hasattr(r, "keep_before"):
-            from headspar.rollout.judge.before import Before
-            from headspar.rollout.judge.terms import Power, Verdict
-            r.keep_before(epoch, change.id, filled(Before), [filled(Power)], 16.0)
-            r.looked(epoch, change, 1, filled(Verdict), 17.0)
+        if hasattr(r, "store_baseline") or hasattr(r, "keep_before"):
+            baselines = first_module("headspar.rollout.judge.baseline", "headspar.rollout.judge.before")
+            types = first_module("headspar.rollout.judge.types", "headspar.rollout.judge.terms")
+            baseline = filled(first_of(baselines, "Baseline", "Before"))
+            first_of(r, "store_baseline", "keep_before")(
+                epoch, change.id, baseline, [filled(types.Power)], 16.0)
+            first_of(r, "record_look", "looked")(epoch, change, 1, filled(types.Verdict), 17.0)
         text = "\n".join(r.db.iterdump())
         r.close()
     return text + "\n"
