--- a/headspar/keeper/state.py
+++ b/headspar/keeper/state.py
@@ -1,7 +1,7 @@
 """Durable state of a keeper: written to a temporary file, synced and renamed; verified by checksum when read.
 
 The fence is also stored in a separate file.  If the state file is damaged or missing, controllers of expired epochs
-must stay stored_fence, and a step that was executed must not be executed again.
+must stay fenced, and a step that was executed must not be executed again.
 """
 
 from __future__ import annotations
