--- a/benchmarks/gate.py
+++ b/benchmarks/gate.py
@@ -86,7 +86,7 @@
     "drains: a drain is ignored": (
         "self.usable = entry.reachable and not self.drained", "self.usable = entry.reachable", "join"),
     "discovery: no retry after a failure": (
-        "self.ask_at = now + int(pause * (0.5 + self.rng.random()))", "self.ask_at = now + 10**12", "join"),
+        "self.watch_at = now + int(pause * (0.5 + self.rng.random()))", "self.watch_at = now + 10**12", "join"),
     "discovery: a server removed from the list stays in use": (
         "self.backends.pop(id).usable = False", "self.backends[id].usable = True", "join"),
     "repeats: the idempotency window is ignored": (
