--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -49,10 +49,10 @@
     # Stalls of the machine itself, of about 100 ms, are not the node's fault.
     s = replace(s, rules=replace(s.rules, lateness_ms=150.0, answer_slack_ms=s.rules.answer_slack_ms + 150.0))
     results: list[Result] = []
-    for struck in (False, True):
+    for with_node_faults in (False, True):
         for _ in range(2):
             with tempfile.TemporaryDirectory(prefix="headspar-comeback-") as folder:
-                result = run_scenario(s, seed, Path(folder) / "run", struck=struck)
+                result = run_scenario(s, seed, Path(folder) / "run", with_node_faults=with_node_faults)
             if result.verdict.valid:
                 results.append(result)
                 break
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -106,11 +106,11 @@
     for i in range(UPGRADES):
         print(f"\rupgrade {i + 1} of {UPGRADES}", end="", file=sys.stderr)
         await asyncio.sleep(0.4)
-        old_process = await node.beside(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
+        old_process = await node.start_new_process(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
         pids.append(node.process.pid)
-        if not await node.says_yes(20):
+        if not await node.wait_ops_ready(20):
             raise RuntimeError("the new process did not become ready within 20 s")
-        node.end_first(old_process)
+        node.terminate_old_process(old_process)
         await old_process.wait()
         pids.remove(old_process.pid)
     await running
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -100,10 +100,10 @@
         server = await loop.create_server(InstantServer, hosts.next(), 0, backlog=256)
         host, port = server.sockets[0].getsockname()[:2]
         addresses.append(f"{host}:{port}")
-    parent.say("ready", addresses=addresses)
+    parent.emit_event("ready", addresses=addresses)
 
     async def count(command: dict[str, Any]) -> None:
-        parent.say("accepted", count=InstantServer.accepted)
+        parent.emit_event("accepted", count=InstantServer.accepted)
 
     await parent.commands(count)
 
@@ -298,7 +298,7 @@
 
     async def accepted(self) -> int:
         """How many connections the servers have accepted so far."""
-        self.child.tell({"cmd": "count"})
+        self.child.send_command({"cmd": "count"})
         count: int = (await self.child.expect("accepted", 10))["count"]
         return count
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -28,9 +28,9 @@
 from msgspec.structs import replace
 
 from headspar.keeper import messages as m
-from headspar.lab import kept_log
+from headspar.lab import keeper_log
 from headspar.lab.children import now_us
-from headspar.lab.kept import KeptRun, Script, run_kept
+from headspar.lab.keeper_run import KeeperRun, Script, run_with_keepers
 from headspar.lab.run import Result
 from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
@@ -59,7 +59,7 @@
         self.keep = keep
 
     def run(self, script: Script, seconds: float, seed: int = 1, limits: bool = True,
-            table: str = TABLE) -> tuple[Result, KeptRun]:
+            table: str = TABLE) -> tuple[Result, KeeperRun]:
         """Runs *script* over real processes and counts its results; raises ``SystemExit`` if neither of two is valid.
 
         ``limits``: whether the limits of staged changes apply to the run.
@@ -68,14 +68,15 @@
         s = replace(s, rules=replace(s.rules, lateness_ms=100.0, answer_slack_ms=s.rules.answer_slack_ms + 150.0))
         for _ in range(2):
             with tempfile.TemporaryDirectory(prefix="headspar-rollout-") as folder:
-                result, run = run_kept(s, seed, Path(folder) / "run", script, table + JUDGE_OFF, KEEPER_SETTINGS)
+                result, run = run_with_keepers(s, seed, Path(folder) / "run", script, table + JUDGE_OFF,
+                                               KEEPER_SETTINGS)
                 if result.verdict.valid:
                     self._count(result, run, limits)
                     return result, run
                 self.counts["invalid"] += 1
         raise SystemExit(f"no valid run in two attempts: {result.verdict.doubts}")
 
-    def _count(self, result: Result, run: KeptRun, limits: bool) -> None:
+    def _count(self, result: Result, run: KeeperRun, limits: bool) -> None:
         counts = result.verdict.counts
         if not limits:  # the comparison without a staged change
             self.counts["at_once_rules_broken"] += sum(counts.values())
@@ -86,9 +87,10 @@
         for violation in result.verdict.violations[:3]:
             print(violation.line(), file=sys.stderr)
         rows = run.rows()
-        for name in ("steps_twice", "fenced_accepted", "strangers_signalled"):
-            self.counts[name] += len(getattr(kept_log, name)(rows))
-        over = sum(n > MAX_OUT or of_site > MAX_OUT_PER_SITE for n, of_site in run.most_on_way())
+        self.counts["steps_twice"] += len(keeper_log.steps_applied_twice(rows))
+        self.counts["fenced_accepted"] += len(keeper_log.stale_epochs_accepted(rows))
+        self.counts["strangers_signalled"] += len(keeper_log.foreign_pids_signalled(rows))
+        over = sum(n > MAX_OUT or of_site > MAX_OUT_PER_SITE for n, of_site in run.max_in_transition())
         self.counts["over_limit_moments"] += over
         if over and self.keep is not None:
             shutil.copytree(run.dir, self.keep / f"{time.monotonic_ns()}", ignore=shutil.ignore_patterns("sources"))
@@ -109,11 +111,11 @@
     return change
 
 
-async def _start_change(run: KeptRun, folder: Path, name: str) -> asyncio.subprocess.Process:
+async def _start_change(run: KeeperRun, folder: Path, name: str) -> asyncio.subprocess.Process:
     return await run.controller("start", str(run.operator_path), str(folder), "--name", name, "--yes", "--json")
 
 
-async def _statuses(run: KeptRun) -> list[m.Status]:
+async def _statuses(run: KeeperRun) -> list[m.Status]:
     async def one(name: str) -> m.Status | None:
         listen = run.keepers[name].listen
         try:
@@ -129,7 +131,7 @@
     """Kills controllers at random times during successive changes, with standbys; returns how many it killed."""
     killed = 0
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         nonlocal killed
         rng = random.Random(f"{seed}/kills")
         end = now_us() + 75_000_000
@@ -178,7 +180,7 @@
     """Time and cost of a staged change of twelve nodes, compared with no change and with a change of all at once."""
     out: dict[str, Any] = {}
 
-    async def no_change(run: KeptRun) -> None:
+    async def no_change(run: KeeperRun) -> None:
         await asyncio.sleep(4.0)
         pids = [k.process.pid for k in run.keepers.values() if k.process is not None]
         before = [_cpu_s(pid) for pid in pids]
@@ -187,14 +189,14 @@
             (_cpu_s(pid) - b) / 8.0 for pid, b in zip(pids, before, strict=True)), 2)
         out["keeper_rss_mb"] = round(max(_rss_mb(pid) for pid in pids), 1)
 
-    async def staged(run: KeptRun) -> None:
+    async def staged(run: KeeperRun) -> None:
         folder = run.generation("new", new_version(1))
         since = time.monotonic()
         process = await _start_change(run, folder, "c1")
         out["change_end"] = await process.wait()
         out["change_s"] = round(time.monotonic() - since, 1)
 
-    async def roll_back(run: KeptRun) -> None:
+    async def roll_back(run: KeeperRun) -> None:
         folder = run.generation("new", new_version(1))
         process = await _start_change(run, folder, "c1")
         record = None
@@ -210,11 +212,11 @@
             raise SystemExit("the change ended before it could be rolled back: roll-back time not measured")
         out["back_s"] = round(time.monotonic() - since, 1)
 
-    async def at_once(run: KeptRun) -> None:
+    async def at_once(run: KeeperRun) -> None:
         await asyncio.sleep(4.0)
         for name in run.nodes:
             node = run.node(name)
-            pid = int((await node.who())["pid"])
+            pid = int((await node.identity())["pid"])
             node.marks.append(RunEvent(now_us(), "node_term", name))
             os.kill(pid, 15)
 
--- a/headspar/cli.py
+++ b/headspar/cli.py
@@ -153,11 +153,12 @@
 
     def run_draw(s: Scenario, seed: int) -> rr.Draw:
         results = []
-        for struck in (False, True):
+        for with_node_faults in (False, True):
             with tempfile.TemporaryDirectory(prefix="headspar-lab-") as dir:
-                run_dir = keep / f"{seed}-{'struck' if struck else 'not'}" if keep is not None else Path(dir)
+                name = f"{seed}-{'struck' if with_node_faults else 'not'}"
+                run_dir = keep / name if keep is not None else Path(dir)
                 try:
-                    results.append(run_scenario(s, seed, run_dir, struck=struck))
+                    results.append(run_scenario(s, seed, run_dir, with_node_faults=with_node_faults))
                 except RunError as error:
                     raise error_exit(str(error), 4) from None
         without, result = results
--- a/headspar/lab/__init__.py
+++ b/headspar/lab/__init__.py
@@ -9,8 +9,8 @@
               callers                 simulated clients (classes, agents, keys, retries), in separate processes
               nodes                   real nodes as processes
               links                   relays that inject faults between processes
-              scripted, kept          runs with a script, and runs with keepers
+              scripted, keeper_run    runs with a script, and runs with keepers
               children, run           starting, timing and stopping all processes
-without I/O   truth, kept_log         figures from a node's flight record, and from keepers' logs
+without I/O   record_totals           figures from a node's flight record, and from keepers' logs
 for people    report, explain         tables and charts of a run, and of a node's flight record
 """
--- a/headspar/lab/callers.py
+++ b/headspar/lab/callers.py
@@ -253,7 +253,7 @@
         self.agents = [a.name.encode() for a in self.scenario.agents]
 
     async def run(self) -> None:
-        self.parent.say("ready", digest=self.plan.digest())
+        self.parent.emit_event("ready", digest=self.plan.digest())
         await self.parent.commands(self.command)
 
     async def command(self, command: dict[str, Any]) -> None:
@@ -410,12 +410,12 @@
     def _maybe_done(self) -> None:
         if self.all_started and self.open == 0 and not self.done.is_set():
             self.done.set()
-            self.parent.say("all_ended")
+            self.parent.emit_event("all_ended")
 
     async def _progress(self) -> None:
         while True:
             await asyncio.sleep(PROGRESS_S)
-            self.parent.say("progress", part="callers", number=self.part, open=self.open, **self.counts)
+            self.parent.emit_event("progress", part="callers", number=self.part, open=self.open, **self.counts)
 
     async def finish(self, within_s: float) -> None:
         try:
@@ -425,7 +425,7 @@
             pass
         records = CallerRecords(self.asks, [lateness(f"callers {self.part}", self.lateness_us)], self.open)
         self.out.write_bytes(msgspec.msgpack.encode(records))
-        self.parent.say("finished", unfinished=self.open)
+        self.parent.emit_event("finished", unfinished=self.open)
 
 
 async def main(parent: Parent) -> None:
--- a/headspar/lab/children.py
+++ b/headspar/lab/children.py
@@ -77,10 +77,10 @@
                 env=package_env(), start_new_session=True, limit=LINE_LIMIT,
             )
         child = cls(name, process, log)
-        child.tell(task)
+        child.send_command(task)
         return child
 
-    def tell(self, command: dict[str, Any]) -> None:
+    def send_command(self, command: dict[str, Any]) -> None:
         assert self.process.stdin is not None
         with contextlib.suppress(ConnectionError, RuntimeError):
             self.process.stdin.write(json.dumps(command).encode() + b"\n")
@@ -134,7 +134,7 @@
         self.reader, self.task = reader, task
 
     @staticmethod
-    def say(event: str, **more: Any) -> None:
+    def emit_event(event: str, **more: Any) -> None:
         sys.stdout.write(json.dumps({"event": event, **more}) + "\n")
         sys.stdout.flush()
 
--- a/headspar/lab/explain.py
+++ b/headspar/lab/explain.py
@@ -9,9 +9,9 @@
 from rich.console import Console
 from rich.table import Table
 
+from headspar.lab.record_totals import record_totals
 from headspar.lab.report import png
 from headspar.lab.run import TRUTH
-from headspar.lab.truth import record_totals
 from headspar.recorder.file import read
 from headspar.recorder.line import LineError, Row
 from headspar.world.records import Recording, decode
--- a/headspar/lab/fleet.py
+++ b/headspar/lab/fleet.py
@@ -59,7 +59,7 @@
         addresses = {
             id: {node: f"{a[0]}:{a[1]}" for node, a in s.addresses.items()} for id, s in self.servers.items()
         }
-        self.parent.say("ready", addresses=addresses, digest=self.plan.digest())
+        self.parent.emit_event("ready", addresses=addresses, digest=self.plan.digest())
         await self.parent.commands(self.command)
 
     async def command(self, command: dict[str, Any]) -> None:
@@ -115,7 +115,7 @@
                 state = "down" if machine is None else "silent" if server.unreachable else (
                     "draining" if machine.draining else "cold" if machine.cold(now_us()) else "warm")
                 rows[id] = [state, *server.load()]
-            self.parent.say("progress", part="fleet", servers=rows, sent=len(self.context.ledger.rows))
+            self.parent.emit_event("progress", part="fleet", servers=rows, sent=len(self.context.ledger.rows))
 
     def finish(self) -> None:
         for task in self.tasks:
@@ -133,7 +133,7 @@
             sum(m.forgotten_early for m in ledger.memories.values()), context.accepted,
         )
         self.out.write_bytes(msgspec.msgpack.encode(records))
-        self.parent.say("finished", open=sum(r.fate is AttemptResult.OPEN for r in ledger.rows))
+        self.parent.emit_event("finished", open=sum(r.fate is AttemptResult.OPEN for r in ledger.rows))
 
 
 async def main(parent: Parent) -> None:
--- a/headspar/lab/kept_log.py
+++ b/headspar/lab/keeper_log.py
@@ -11,10 +11,10 @@
 
 Row = dict[str, Any]
 Rows = Mapping[str, Sequence[Row]]
-ON_WAY = ("beside", "draining", "starting", "absent", "reloading")
+IN_TRANSITION = ("beside", "draining", "starting", "absent", "reloading")
 
 
-def steps_twice(rows: Rows) -> list[tuple[str, int]]:
+def steps_applied_twice(rows: Rows) -> list[tuple[str, int]]:
     """Returns (keeper, step) of each step that a keeper accepted as new more than once, across its restarts."""
     out = []
     for name, events in rows.items():
@@ -23,7 +23,7 @@
     return out
 
 
-def fenced_accepted(rows: Rows) -> list[tuple[str, int]]:
+def stale_epochs_accepted(rows: Rows) -> list[tuple[str, int]]:
     """Returns (keeper, step) of each command accepted with an epoch below the highest one accepted before."""
     out = []
     for name, events in rows.items():
@@ -36,7 +36,7 @@
     return out
 
 
-def strangers_signalled(rows: Rows) -> list[int]:
+def foreign_pids_signalled(rows: Rows) -> list[int]:
     """Returns the pids that a keeper signalled although it had neither started nor found those processes."""
     out = []
     for events in rows.values():
@@ -49,7 +49,9 @@
     return out
 
 
-def on_way(rows: Rows, sites: Mapping[str, str], at: Callable[[Row], int], since: int) -> list[tuple[int, int]]:
+def in_transition(
+    rows: Rows, sites: Mapping[str, str], at: Callable[[Row], int], since: int
+) -> list[tuple[int, int]]:
     """Returns the number of nodes in transition, in all and the maximum of one site, after each phase change since
     ``since`` (µs).
 
@@ -57,7 +59,7 @@
     ``at`` gives the time of an event; ``sites`` the site of each node.
     """
     moves = sorted(
-        (at(e), e["after"] in ON_WAY, name)
+        (at(e), e["after"] in IN_TRANSITION, name)
         for name, events in rows.items() for e in events
         if e["event"] == "keeper.moved" and e["table"] == "phase" and at(e) > since
     )
--- a/headspar/lab/kept.py
+++ b/headspar/lab/keeper_run.py
@@ -25,7 +25,7 @@
 
 from headspar.identity import NO_HANDOVER, PACKAGE, start_ticks
 from headspar.keeper.generations import digest
-from headspar.lab import kept_log
+from headspar.lab import keeper_log
 from headspar.lab.children import now_us, package_env
 from headspar.lab.links import Link
 from headspar.lab.nodes import NodeProcess, free_address
@@ -120,11 +120,11 @@
                     return found
         raise OSError("no serving process answers on either operator address")
 
-    async def who(self) -> dict[str, Any]:
+    async def identity(self) -> dict[str, Any]:
         """The identity of the serving process."""
         return (await self.call("/identity"))[1]
 
-    async def kill_node(self) -> None:
+    async def kill_serving_process(self) -> None:
         """Sends SIGKILL to the serving process."""
         await self.call("/stats")  # sets ``ops`` to the address of the serving process
         found = await super().call("/identity")
@@ -134,25 +134,25 @@
         os.kill(pid, signal.SIGKILL)
 
     async def end(self, seconds: float = 6.0) -> None:
-        """Does nothing: the reaper ends all processes of a kept run."""
+        """Does nothing: the reaper ends all processes of a run with keepers."""
 
     def kill(self) -> None:
         pass
 
 
-Script = Callable[["KeptRun"], Awaitable[None]]
+Script = Callable[["KeeperRun"], Awaitable[None]]
 
 
-class KeptRun(Scripted):
+class KeeperRun(Scripted):
     """A run with keepers and a script.  It ends once both the load and the script have ended.
 
-    ``table`` and ``keeper_table`` are further TOML text for the operator's and the keepers' files.
+    ``operator_toml`` and ``keeper_toml`` are further TOML text for the operator's and the keepers' files.
     """
 
-    def __init__(self, scenario: Scenario, seed: int, dir: Path, script: Script, table: str = "",
-                 keeper_table: str = "", relayed: int = 0) -> None:
+    def __init__(self, scenario: Scenario, seed: int, dir: Path, script: Script, operator_toml: str = "",
+                 keeper_toml: str = "", relayed: int = 0) -> None:
         super().__init__(scenario, seed, dir, script, relayed)
-        self.table, self.keeper_table = table, keeper_table
+        self.operator_toml, self.keeper_toml = operator_toml, keeper_toml
         self.run_token = uuid.uuid4().hex
         self.env = {k: v for k, v in package_env().items() if not k.startswith(("ROUTER_", "HEADSPAR_"))}
         self.env[RUN_TOKEN_VARIABLE] = self.run_token
@@ -183,7 +183,8 @@
                         f'keeper = "{link.address[0]}:{link.address[1]}"\n')
         (self.dir / "fleet.toml").write_text("\n".join(rows))
         self.operator_path.write_text(
-            f'[rollout]\nrecord = "{self.dir / "record.db"}"\nfleet = "{self.dir / "fleet.toml"}"\n{self.table}')
+            f'[rollout]\nrecord = "{self.dir / "record.db"}"\nfleet = "{self.dir / "fleet.toml"}"\n'
+            f'{self.operator_toml}')
         self._spawn_task(self._run_front())
 
     @property
@@ -206,7 +207,7 @@
 
     async def _start_node(self, node: NodeProcess) -> None:
         assert self.discovery is not None and isinstance(node, KeptNode)
-        if len(self.to_discovery) < self.relayed:
+        if len(self.discovery_relays) < self.relayed:
             await self._insert_relays(node.name)
         folder = self.dir / node.name
         folder.mkdir()
@@ -215,7 +216,7 @@
         first_generation = self.dir / "sources" / "old"
         keeper.file.write_text(
             f'[keeper]\nfolder = "{folder}"\nhost = "{folder / "host.json"}"\nfirst = "{first_generation}"\n'
-            f'listen = "{keeper.listen[0]}:{keeper.listen[1]}"\n{self.keeper_table}')
+            f'listen = "{keeper.listen[0]}:{keeper.listen[1]}"\n{self.keeper_toml}')
         known = self.discovery.known(node.name)
         keeper.start()
         self.keepers[node.name] = keeper
@@ -263,13 +264,13 @@
         await asyncio.gather(refresh_host_files(), *(check_node(node) for node in self.nodes.values()))
 
     def rows(self) -> dict[str, list[dict[str, Any]]]:
-        """The events of each keeper, for ``kept_log``."""
+        """The events of each keeper, for ``keeper_log``."""
         return {name: keeper.events() for name, keeper in self.keepers.items()}
 
-    def most_on_way(self) -> list[tuple[int, int]]:
-        """Result of ``kept_log.on_way`` for the time since the start of the load."""
+    def max_in_transition(self) -> list[tuple[int, int]]:
+        """Result of ``keeper_log.in_transition`` for the time since the start of the load."""
         sites = {name: str(node.config["settings"]["az"]) for name, node in self.nodes.items()}
-        return kept_log.on_way(self.rows(), sites, self.at, self.began_at)
+        return keeper_log.in_transition(self.rows(), sites, self.at, self.began_at)
 
     def node(self, name: str) -> KeptNode:
         node = self.nodes[name]
@@ -338,8 +339,8 @@
         return marks
 
 
-def run_kept(scenario: Scenario, seed: int, dir: Path, script: Script, table: str = "",
-             keeper_table: str = "", relayed: int = 0) -> tuple[Result, KeptRun]:
-    """Carries out a kept run on a new event loop.  Raises ``RunError`` if it cannot be carried out."""
-    run = KeptRun(scenario, seed, dir, script, table, keeper_table, relayed)
+def run_with_keepers(scenario: Scenario, seed: int, dir: Path, script: Script, operator_toml: str = "",
+                     keeper_toml: str = "", relayed: int = 0) -> tuple[Result, KeeperRun]:
+    """Carries out a run with keepers on a new event loop.  Raises ``RunError`` if it cannot be carried out."""
+    run = KeeperRun(scenario, seed, dir, script, operator_toml, keeper_toml, relayed)
     return play(run), run
--- a/headspar/lab/links.py
+++ b/headspar/lab/links.py
@@ -20,7 +20,7 @@
 Address = tuple[str, int]
 
 
-class Fault(msgspec.Struct, frozen=True):
+class LinkFaults(msgspec.Struct, frozen=True):
     """The faults of a link, each as the share of commands that it hits.
 
     ``late_s``: the maximum delay of a late command, which arrives after its sender has given up; the minimum is the
@@ -38,9 +38,9 @@
     words: str = ""
 
 
-CUT = Fault(drop=1.0)
-DEAF = Fault(lose=1.0)  # cut in the direction of the answers only
-WELL = Fault()
+DROP_ALL = LinkFaults(drop=1.0)
+DROP_ANSWERS = LinkFaults(lose=1.0)  # cut in the direction of the answers only
+NO_FAULT = LinkFaults()
 
 
 class Link:
@@ -49,7 +49,7 @@
     def __init__(self, target: Address, host: str, rng: random.Random) -> None:
         self.target, self.host, self.rng = target, host, rng
         self.address: Address = (host, 0)
-        self.fault = WELL
+        self.fault = NO_FAULT
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.counts: dict[str, int] = {}
@@ -118,7 +118,7 @@
             self.server.close()
 
 
-class Weather(msgspec.Struct, frozen=True):
+class StreamFaults(msgspec.Struct, frozen=True):
     """The faults of a stream; "up" is from the node, "down" is to it.
 
     Held bytes are delivered once the fault ends, unless the connection has closed.  ``shut``: new connections are
@@ -137,32 +137,32 @@
     def __init__(self, target: Address, host: str) -> None:
         self.target, self.host = target, host
         self.address: Address = (host, 0)
-        self.weather = Weather()
-        self.weather_changed = asyncio.Condition()
+        self.faults = StreamFaults()
+        self.faults_changed = asyncio.Condition()
         self.server: asyncio.Server | None = None
         self.open: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.held = self.carried = self.reset_ones = 0
+        self.held = self.chunks_relayed = self.connections_reset = 0
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._connection, self.host, 0)
         self.address = self.server.sockets[0].getsockname()[:2]
 
-    async def become(self, weather: Weather) -> None:
+    async def set_faults(self, faults: StreamFaults) -> None:
         """Switches to other faults, for open and for new connections."""
-        async with self.weather_changed:
-            self.weather = weather
-            self.weather_changed.notify_all()
+        async with self.faults_changed:
+            self.faults = faults
+            self.faults_changed.notify_all()
 
     def reset(self) -> None:
         """Resets every connection at once, even in the middle of a message."""
         for writer in list(self.open):
-            self.reset_ones += 1
+            self.connections_reset += 1
             writer.transport.abort()
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.weather.shut:
-            self.reset_ones += 1
+        if self.faults.shut:
+            self.connections_reset += 1
             writer.transport.abort()
             return
         try:
@@ -183,15 +183,15 @@
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, hold_field: str) -> None:
         try:
             while data := await reader.read(65536):
-                if getattr(self.weather, hold_field):
+                if getattr(self.faults, hold_field):
                     self.held += 1
-                    async with self.weather_changed:
-                        await self.weather_changed.wait_for(lambda: not getattr(self.weather, hold_field))
+                    async with self.faults_changed:
+                        await self.faults_changed.wait_for(lambda: not getattr(self.faults, hold_field))
                     if reader.at_eof() or reader.exception() is not None:
                         raise OSError("the sender closed the connection while its data was held")
-                if self.weather.delay_s:
-                    await asyncio.sleep(self.weather.delay_s)
-                self.carried += 1
+                if self.faults.delay_s:
+                    await asyncio.sleep(self.faults.delay_s)
+                self.chunks_relayed += 1
                 writer.write(data)
                 await writer.drain()
             if writer.can_write_eof():
--- a/headspar/lab/nodes.py
+++ b/headspar/lab/nodes.py
@@ -39,12 +39,12 @@
 
     def __init__(self, listens: list[Address], host: str, rng: random.Random) -> None:
         self.listens, self.host, self.rng = listens, host, rng
-        self.lost = 0.0  # share of datagrams to drop
-        self.deaf: set[int] = set()  # nodes that receive nothing but can still send
+        self.loss_share = 0.0  # share of datagrams to drop
+        self.receive_blocked: set[int] = set()  # nodes that receive nothing but can still send
         self.number = {address: i for i, address in enumerate(listens)}
         self.relays: list[_Relay] = []
         self.addresses: list[Address] = []
-        self.carried = 0
+        self.datagrams_relayed = 0
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -65,8 +65,8 @@
             return
         targets = range(len(self.listens)) if to >= len(self.listens) else (to,)
         for i in targets:
-            if i != number and i not in self.deaf and self.rng.random() >= self.lost:
-                self.carried += 1
+            if i != number and i not in self.receive_blocked and self.rng.random() >= self.loss_share:
+                self.datagrams_relayed += 1
                 source.sendto(data, self.listens[i])
 
     def close(self) -> None:
@@ -84,7 +84,7 @@
         self.log = dir / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
         self.exit_watcher: asyncio.Task[None] | None = None
-        self.other_exit_watchers: list[asyncio.Task[None]] = []  # of processes started by ``beside``
+        self.other_exit_watchers: list[asyncio.Task[None]] = []  # of processes started by ``start_new_process``
         self.marks: list[RunEvent] = []
         self.command = [sys.executable, "-m", "headspar"]
         self.operator: Path | None = None  # path of the operator's settings file
@@ -122,7 +122,7 @@
 
     # ------------------------------------------------------------ operators' actions
 
-    async def beside(self, known: dict[str, Any], discovery: Address) -> asyncio.subprocess.Process:
+    async def start_new_process(self, known: dict[str, Any], discovery: Address) -> asyncio.subprocess.Process:
         """Starts a new process of the node, which replaces the old one here; returns the old one.
 
         The new process has its own address for operators.
@@ -135,7 +135,7 @@
         self.other_exit_watchers.append(asyncio.create_task(self._watch(self.process)))
         return first
 
-    def end_first(self, first: asyncio.subprocess.Process) -> None:
+    def terminate_old_process(self, first: asyncio.subprocess.Process) -> None:
         """Sends SIGTERM to an old process that a new one has replaced."""
         self.marks.append(RunEvent(now_us(), "node_term", self.name))
         with contextlib.suppress(ProcessLookupError):
@@ -152,7 +152,7 @@
             writer.close()
         return int(head.split()[1]), json.loads(body)
 
-    async def says_yes(self, seconds: float) -> bool:
+    async def wait_ops_ready(self, seconds: float) -> bool:
         """Waits up to ``seconds`` for the operators' health check to answer 200; returns whether it did."""
         end = now_us() + int(seconds * 1e6)
         while now_us() < end and (self.process is None or self.process.returncode is None):
--- a/headspar/lab/run.py
+++ b/headspar/lab/run.py
@@ -80,15 +80,15 @@
 
     def __init__(self, scenario: Scenario, seed: int, dir: Path, on_progress: Progress | None = None,
                  command: list[str] | None = None, record: bool = False, operator: Path | None = None,
-                 struck: bool = True) -> None:
+                 with_node_faults: bool = True) -> None:
         """``command`` starts a program in place of the real node; tests use it for relays with known flaws.
         ``record``: each node writes its flight record, and the lab the records of the run, to ``dir``.
-        ``operator``: the operator's settings file of all nodes.  ``struck``: False leaves out the steps that hit
-        nodes, and nothing else."""
+        ``operator``: the operator's settings file of all nodes.  ``with_node_faults``: False leaves out the steps
+        that hit nodes, and nothing else."""
         self.s, self.seed, self.dir, self.command, self.record = scenario, seed, dir, command, record
         self.operator = operator
         self.plan = draw(scenario, seed)
-        self.steps = (self.plan if struck else without_failure(self.plan)).steps
+        self.steps = (self.plan if with_node_faults else without_failure(self.plan)).steps
         self.on_progress = on_progress
         self.hosts = Hosts()
         self.nodes: dict[str, NodeProcess] = {}
@@ -107,8 +107,8 @@
         self.figures: dict[str, dict[str, Any]] = {}
         self.start_lock = asyncio.Lock()
         self.relayed = 0  # number of nodes that reach discovery and servers through relays
-        self.to_discovery: dict[str, Stream] = {}
-        self.to_servers: dict[tuple[str, str], Stream] = {}  # by node and server
+        self.discovery_relays: dict[str, Stream] = {}
+        self.server_relays: dict[tuple[str, str], Stream] = {}  # by node and server
 
     # ------------------------------------------------------------ start
 
@@ -176,18 +176,18 @@
     async def _insert_relays(self, name: str) -> None:
         """Inserts relays between a node and discovery and each server; discovery then lists the relays' addresses."""
         assert self.discovery is not None
-        stream = self.to_discovery[name] = Stream(self.discovery.endpoints[name].address, self.hosts.next())
+        stream = self.discovery_relays[name] = Stream(self.discovery.endpoints[name].address, self.hosts.next())
         await stream.start()
         for server, addresses in self.discovery.addresses.items():
             host, _, port = addresses[name].rpartition(":")
-            stream = self.to_servers[name, server] = Stream((host, int(port)), self.hosts.next())
+            stream = self.server_relays[name, server] = Stream((host, int(port)), self.hosts.next())
             await stream.start()
             addresses[name] = f"{stream.address[0]}:{stream.address[1]}"
 
     def _discovery_address(self, name: str) -> tuple[str, int]:
         """The address at which a node reaches discovery."""
         assert self.discovery is not None
-        relay = self.to_discovery.get(name)
+        relay = self.discovery_relays.get(name)
         return relay.address if relay is not None else self.discovery.endpoints[name].address
 
     def _start_list(self, name: str) -> dict[str, Any]:
@@ -197,7 +197,7 @@
 
     async def _start_node(self, node: NodeProcess) -> None:
         assert self.discovery is not None
-        if len(self.to_discovery) < self.relayed and node.name not in self.to_discovery:
+        if len(self.discovery_relays) < self.relayed and node.name not in self.discovery_relays:
             await self._insert_relays(node.name)
         # Starting a process blocks this one for some milliseconds.  Starts that are due together run one per round of
         # the loop, so that other work here is not delayed by the sum of them.
@@ -315,10 +315,11 @@
     async def _upgrade(self, node: NodeProcess) -> None:
         """Starts a new process of the node, and sends SIGTERM to the old one once the new one is ready."""
         assert self.discovery is not None
-        old_process = await node.beside(self.discovery.known(node.name), self._discovery_address(node.name))
-        if not await node.says_yes(READY_S):
+        old_process = await node.start_new_process(self.discovery.known(node.name),
+                                                   self._discovery_address(node.name))
+        if not await node.wait_ops_ready(READY_S):
             raise RunError(f"{node.name}: the new process did not get ready")
-        node.end_first(old_process)
+        node.terminate_old_process(old_process)
 
     async def _collect_stats(self) -> None:
         """Reads each node's statistics after the last call; a program in place of a node may not provide them."""
@@ -328,7 +329,7 @@
 
     def _notify_front(self, node: NodeProcess, up: bool) -> None:
         for child in self.callers:
-            child.tell({"cmd": "node", "node": node.name, "up": up})
+            child.send_command({"cmd": "node", "node": node.name, "up": up})
 
     def _spawn_task(self, coroutine: Any) -> None:
         task: asyncio.Task[None] = asyncio.create_task(coroutine)
@@ -355,19 +356,19 @@
             self.began_at = now_us() + START_DELAY_US
             for child in (*self.callers, self.fleet):
                 assert child is not None
-                child.tell({"cmd": "start", "at": self.began_at})
+                child.send_command({"cmd": "start", "at": self.began_at})
             self._spawn_task(self._steps())
             self._spawn_task(self._measure_lateness())
             await asyncio.sleep(START_DELAY_US / 1e6 + self.s.length_s)
             await self._await_script()
             timeout_s = self._drain_timeout_s()
             for child in self.callers:
-                child.tell({"cmd": "finish", "within_s": timeout_s})
+                child.send_command({"cmd": "finish", "within_s": timeout_s})
             for child in self.callers:
                 await self._await_finished(child, timeout_s + 15)
             assert self.fleet is not None
             await asyncio.sleep(0.2)
-            self.fleet.tell({"cmd": "finish"})
+            self.fleet.send_command({"cmd": "finish"})
             await self._await_finished(self.fleet, 15)
             await self._collect_stats()
             await asyncio.gather(*(node.end() for node in self.nodes.values()))
@@ -395,7 +396,7 @@
     async def _close(self) -> None:
         for task in list(self.tasks):
             task.cancel()
-        for stream in (*self.to_discovery.values(), *self.to_servers.values()):
+        for stream in (*self.discovery_relays.values(), *self.server_relays.values()):
             stream.close()
         for node in self.nodes.values():
             node.kill()
@@ -451,12 +452,12 @@
 
 def run_scenario(scenario: Scenario, seed: int, dir: Path, on_progress: Progress | None = None,
                  command: list[str] | None = None, record: bool = False, operator: Path | None = None,
-                 struck: bool = True) -> Result:
+                 with_node_faults: bool = True) -> Result:
     """Runs a scenario on a new event loop; ``Run`` describes the parameters.
 
     Raises ``RunError`` if it cannot be carried out.
     """
-    return play(Run(scenario, seed, dir, on_progress, command, record, operator, struck))
+    return play(Run(scenario, seed, dir, on_progress, command, record, operator, with_node_faults))
 
 
 def play(run: Run) -> Result:
--- a/headspar/lab/scripted.py
+++ b/headspar/lab/scripted.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from headspar.lab.children import now_us
-from headspar.lab.links import Weather
+from headspar.lab.links import StreamFaults
 from headspar.lab.nodes import NodeProcess
 from headspar.lab.run import Result, Run, RunError, play
 from headspar.world.scenario import Scenario
@@ -29,39 +29,39 @@
         self.script, self.relayed = script, relayed
         self.rng = random.Random(f"{seed}/script")
         self.script_task: asyncio.Task[None] | None = None
-        self.lists: dict[str, dict[str, Any]] = {}  # by node: the list that it is given at its start
+        self.start_lists: dict[str, dict[str, Any]] = {}  # by node: the list that it is given at its start
 
     async def until(self, seconds: float) -> None:
         """Waits until ``seconds`` after the start of the run."""
         await asyncio.sleep(max(0.0, self.began_at / 1e6 + seconds - now_us() / 1e6))
 
-    def drawn(self, count: int) -> list[NodeProcess]:
+    def draw_nodes(self, count: int) -> list[NodeProcess]:
         """Draws ``count`` different nodes."""
         return self.rng.sample(list(self.nodes.values()), count)
 
-    async def strike(self, nodes: list[NodeProcess], kind: str) -> None:
+    async def apply_to_nodes(self, nodes: list[NodeProcess], kind: str) -> None:
         """Applies a step of kind ``kind`` to nodes, and returns once the front has been notified of all of them."""
         await asyncio.gather(*(self._node_step(kind, node) for node in nodes))
 
-    def remember(self) -> None:
+    def pin_lists(self) -> None:
         """Has nodes that start later start with the list as it is now, however old it is by then."""
         assert self.discovery is not None
-        self.lists = {name: self.discovery.known(name) for name in self.nodes}
+        self.start_lists = {name: self.discovery.known(name) for name in self.nodes}
 
-    async def cut(self, site: str, weather: Weather) -> int:
-        """Applies ``weather`` to the links between relayed nodes and the servers of a site; returns their number."""
+    async def partition_site(self, site: str, faults: StreamFaults) -> int:
+        """Applies ``faults`` to the links between relayed nodes and the servers of a site; returns their number."""
         servers = {p.id for p in self.plan.servers if p.site == site}
-        links = [stream for (_, server), stream in self.to_servers.items() if server in servers]
-        if not weather.hold_up:  # data written into a cut link is lost with its connection
+        links = [stream for (_, server), stream in self.server_relays.items() if server in servers]
+        if not faults.hold_up:  # data written into a cut link is lost with its connection
             for stream in links:
                 stream.reset()
             await asyncio.sleep(0.05)
         for stream in links:
-            await stream.become(weather)
+            await stream.set_faults(faults)
         return len(links)
 
     def _start_list(self, name: str) -> dict[str, Any]:
-        return self.lists.get(name) or super()._start_list(name)
+        return self.start_lists.get(name) or super()._start_list(name)
 
     async def _steps(self) -> None:
         self.script_task = asyncio.create_task(self._run_script())
--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -14,7 +14,7 @@
 import pytest
 from msgspec.structs import replace
 
-from headspar.lab.links import Weather
+from headspar.lab.links import StreamFaults
 from headspar.lab.run import Result
 from headspar.lab.scripted import Script, Scripted, run_scripted
 from headspar.world.mass_failures import MassFailure, scenario
@@ -83,8 +83,8 @@
 def test_most_or_all_killed_within_a_fifth_of_a_second(tmp_path: Path, share: float, datagrams: str) -> None:
     async def script(run: Scripted) -> None:
         assert run.peers is not None
-        run.peers.lost = 0.5 if datagrams == "half" else 0.0
-        run.peers.deaf = set(range(0, NODES, 2)) if datagrams == "one way" else set()
+        run.peers.loss_share = 0.5 if datagrams == "half" else 0.0
+        run.peers.receive_blocked = set(range(0, NODES, 2)) if datagrams == "one way" else set()
 
     # Without drain messages between peers, discovery at 8 calls a second would notify some nodes later than the drain
     # rule allows.
@@ -93,7 +93,7 @@
     kills = [m.at for m in result.recording.marks if m.what == "node_kill" and m.at > result.recording.rules.began_at]
     assert len(kills) == round(share * NODES) and max(kills) - min(kills) < S
     assert_recovered(c)
-    assert run.peers is not None and run.peers.carried > 100
+    assert run.peers is not None and run.peers.datagrams_relayed > 100
     restarts = [m.at for m in result.recording.marks if m.what == "node_start" and m.at > max(kills)]
     assert len(restarts) == len(kills)
     calls = [at for at in first_calls(result, min(restarts)) if at < min(restarts) + 4 * S]
@@ -102,14 +102,15 @@
 
 def test_killed_again_in_the_middle_of_coming_back(tmp_path: Path) -> None:
     async def script(run: Scripted) -> None:
-        failing = run.drawn(17)
+        failing = run.draw_nodes(17)
         await run.until(AT_S)
-        await run.strike(failing, "node_kill")
-        starting = asyncio.create_task(run.strike(failing, "node_start"))
+        await run.apply_to_nodes(failing, "node_kill")
+        starting = asyncio.create_task(run.apply_to_nodes(failing, "node_start"))
         await until(lambda: sum(node.marks[-1].what == "node_start" for node in failing) > 10)
-        await run.strike(failing, "node_kill")  # by then some serve, some are starting, and some are not started yet
+        # By then some serve, some are starting, and some are not started yet.
+        await run.apply_to_nodes(failing, "node_kill")
         await starting
-        await run.strike(failing, "node_start")
+        await run.apply_to_nodes(failing, "node_start")
 
     _, c, run = run_and_audit(with_faults(fleet()), tmp_path, script)
     assert_recovered(c)
@@ -122,14 +123,14 @@
     turns, tenth = 8, NODES // 10
 
     async def script(run: Scripted) -> None:
-        struck = run.drawn(turns * tenth)
+        struck = run.draw_nodes(turns * tenth)
         starts = []
         for i in range(turns):
             batch = struck[i * tenth:(i + 1) * tenth]
             await run.until(AT_S + i)
-            await run.strike(batch, "node_term")
+            await run.apply_to_nodes(batch, "node_term")
             await run.until(AT_S + i + 0.6)
-            starts.append(asyncio.create_task(run.strike(batch, "node_start")))
+            starts.append(asyncio.create_task(run.apply_to_nodes(batch, "node_start")))
         await asyncio.gather(*starts)
 
     result, c, _ = run_and_audit(with_faults(fleet(length_s=18.0)), tmp_path, script)
@@ -159,8 +160,8 @@
 
 def test_lists_an_hour_old_of_which_half_is_gone_and_an_address_that_is_anothers(tmp_path: Path) -> None:
     async def script(run: Scripted) -> None:
-        run.remember()
-        for learned in run.lists.values():  # two servers of one site have swapped their addresses
+        run.pin_lists()
+        for learned in run.start_lists.values():  # two servers of one site have swapped their addresses
             rows = [row for row in learned["instances"] if row["zone"] == "site-a"]
             rows[0]["hostPort"], rows[1]["hostPort"] = rows[1]["hostPort"], rows[0]["hostPort"]
             rows[0]["cell"] = rows[1]["cell"]
@@ -201,12 +202,12 @@
 
     async def script(run: Scripted) -> None:
         await run.until(AT_S - 0.5)
-        assert await run.cut("site-b", Weather(hold_up=True, hold_down=True)) == 8 * 6
+        assert await run.partition_site("site-b", StreamFaults(hold_up=True, hold_down=True)) == 8 * 6
         await run.until(AT_S + 5.0)
-        await run.cut("site-b", Weather())
+        await run.partition_site("site-b", StreamFaults())
 
     _, c, run = run_and_audit(s, tmp_path, script, relayed=8)
-    assert sum(x.held for x in run.to_servers.values()) > 0
+    assert sum(x.held for x in run.server_relays.values()) > 0
     assert_recovered(c)
 
 
--- a/tests/connections/test_stale.py
+++ b/tests/connections/test_stale.py
@@ -7,7 +7,7 @@
 
 from headspar.world.records import AttemptResult
 from headspar.world.scenario import parse
-from tests.lab.test_nodes_under_faults import judged
+from tests.lab.test_nodes_under_faults import audited_run
 
 SILENT = '''
 name = "silent closes"
@@ -30,7 +30,7 @@
 
 
 def test_no_payment_goes_over_a_connection_that_has_gone_stale(tmp_path: Path) -> None:
-    result = judged(parse(SILENT), tmp_path)
+    result = audited_run(parse(SILENT), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
     stale = Counter(m.text for m in result.recording.marks if m.what == "stale")
     assert not stale.keys() - {"lookup"}, stale
--- a/tests/lab/test_explain.py
+++ b/tests/lab/test_explain.py
@@ -7,8 +7,8 @@
 import pytest
 
 from headspar.lab.explain import ExplainError, load, picture, select_servers
+from headspar.lab.record_totals import record_totals, recovery_s
 from headspar.lab.run import TRUTH
-from headspar.lab.truth import record_totals, recovery_s
 from headspar.recorder.file import Recorder, read
 from headspar.recorder.line import Row, ServerRow
 from headspar.world.records import RunEvent, Start, encode
--- a/tests/lab/test_kept.py
+++ b/tests/lab/test_kept.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from headspar.lab import kept
-from headspar.lab.kept import KeptRun
+from headspar.lab import keeper_run
+from headspar.lab.keeper_run import KeeperRun
 from tests.rollout.runs import run_checked
 
 
 def test_a_slow_disk_does_not_make_discovery_late(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    write = kept.write_host_file
+    write = keeper_run.write_host_file
     written: list[str] = []
 
     def slow_write(folder: Path, part: str) -> None:
@@ -23,9 +23,9 @@
             written.append(folder.name)
         write(folder, part)
 
-    monkeypatch.setattr(kept, "write_host_file", slow_write)
+    monkeypatch.setattr(keeper_run, "write_host_file", slow_write)
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         while len(set(written)) < len(run.nodes):
             await asyncio.sleep(0.02)
 
--- a/tests/lab/test_nodes_under_faults.py
+++ b/tests/lab/test_nodes_under_faults.py
@@ -33,7 +33,7 @@
 STALL_MS = 100.0
 
 
-def judged(s: Scenario, dir: Path, seed: int = 1) -> Result:
+def audited_run(s: Scenario, dir: Path, seed: int = 1) -> Result:
     """Repeats a run up to three times until it is valid, as a busy machine can make the lab late.
 
     The limits on lateness and answer time are relaxed to allow for such lateness and for stalls.
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("name", sorted(FAULTS_OCCURRED))
 def test_the_rules_hold_under(name: str, tmp_path: Path) -> None:
-    result = judged(parse((FOLDER / f"{name}.toml").read_text()), tmp_path)
+    result = audited_run(parse((FOLDER / f"{name}.toml").read_text()), tmp_path)
     v = result.verdict
     assert v.clean, (v.doubts, [x.line() for x in v.violations[:10]])
     assert FAULTS_OCCURRED[name](result), (outcomes(result), ends(result), marks(result))
@@ -113,7 +113,7 @@
 
 def test_of_five_thousand_payments_none_goes_over_a_connection_dropped_in_silence(tmp_path: Path) -> None:
     """Each payment is served, with one effect, although lookups do hit dropped connections."""
-    result = judged(parse((FOLDER / "silent-closes.toml").read_text()), tmp_path)
+    result = audited_run(parse((FOLDER / "silent-closes.toml").read_text()), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
     rules = result.recording.rules
     keyed = {c.name for c in rules.classes if c.effect == "dedup"}
@@ -127,7 +127,7 @@
 
 
 def test_a_calm_run_serves_everything_and_each_payment_once(tmp_path: Path) -> None:
-    result = judged(parse(CALM), tmp_path)
+    result = audited_run(parse(CALM), tmp_path)
     assert result.verdict.clean and result.verdict.served == result.verdict.taken > 60
     assert result.service.whole == 1.0
     effects = effects_per_key(result.recording)
@@ -137,7 +137,7 @@
 def test_a_pushed_list_is_followed_too(tmp_path: Path) -> None:
     text = CALM + '[discovery]\nmode = "pushed"\nnotice_s = [0.1, 0.2]\n' \
         '[[faults]]\nat_s = 0.5\nkind = "drain"\nservers = 3\nlinger_s = 9\n'
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean
     notified = [t for t in result.recording.told if t.state == "draining" and not t.presumed]
     assert len(notified) == 3
@@ -145,7 +145,7 @@
 
 def test_a_discovery_that_cannot_keep_up_loses_nothing(tmp_path: Path) -> None:
     text = CALM.replace("count = 1", "count = 4") + "[discovery]\ncalls_per_s = 2\ntimeout_ms = 300\n"
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean and result.verdict.served == result.verdict.taken
     logs = "".join(f.read_text() for f in tmp_path.glob("*/n?.log"))
     assert "status 503" in logs
@@ -158,7 +158,7 @@
 
 
 def test_the_ledger_tells_when_a_request_began(tmp_path: Path) -> None:
-    result = judged(parse(CALM), tmp_path)
+    result = audited_run(parse(CALM), tmp_path)
     rows = [s for s in result.recording.sent if s.fate is AttemptResult.DONE]
     assert rows and all(s.arrived_at <= s.began_at < s.ended_at for s in rows)
 
@@ -178,14 +178,14 @@
 servers = 9
 for_s = 5
 '''
-    result = judged(parse(text.replace("rps = 30", "rps = 8")), tmp_path)
+    result = audited_run(parse(text.replace("rps = 30", "rps = 8")), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
     assert outcomes(result)[AttemptResult.CORRUPTED] > 0 and marks(result)["stale"] > 0
 
 
 def test_connections_that_are_dropped_silently_are_met(tmp_path: Path) -> None:
     text = CALM.replace("3\n", "4\n", 1) + '[[servers]]\nidle_s = 0.4\nidle_close = "silent"\n'
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
 
 
--- a/tests/rollout/runs.py
+++ b/tests/rollout/runs.py
@@ -16,8 +16,8 @@
 from msgspec.structs import replace
 
 from headspar.keeper import messages as m
-from headspar.lab import kept_log
-from headspar.lab.kept import KeptRun, Script, run_kept
+from headspar.lab import keeper_log
+from headspar.lab.keeper_run import KeeperRun, Script, run_with_keepers
 from headspar.lab.run import Result
 from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
@@ -84,13 +84,13 @@
 
 
 def run_checked(script: Script, dir: Path, nodes: int = 12, seconds: float = 8.0, table: str = TABLE,
-                keeper_table: str = KEEPER, relayed: int = 0, rps: float = 60.0, judge: str = UNJUDGED,
-                ) -> tuple[Result, KeptRun]:
+                keeper_toml: str = KEEPER, relayed: int = 0, rps: float = 60.0, judge: str = UNJUDGED,
+                ) -> tuple[Result, KeeperRun]:
     """Return a run that the lab considers valid; on a busy machine it may take three attempts."""
     for i in range(3):
         with run_slot():
-            result, run = run_kept(scenario(nodes, seconds, rps), 1, dir / str(i), script, table + judge,
-                                   keeper_table, relayed)
+            result, run = run_with_keepers(scenario(nodes, seconds, rps), 1, dir / str(i), script, table + judge,
+                                           keeper_toml, relayed)
         if result.verdict.valid:
             break
     v = result.verdict
@@ -144,12 +144,12 @@
 Process = asyncio.subprocess.Process
 
 
-async def start(run: KeptRun, folder: Path, name: str, *more: str, failpoints: str = "") -> Process:
+async def start(run: KeeperRun, folder: Path, name: str, *more: str, failpoints: str = "") -> Process:
     arguments = ("start", str(run.operator_path), str(folder), "--name", name, "--yes", "--json", *more)
     return await run.controller(*arguments, failpoints=failpoints)
 
 
-async def lead(run: KeptRun, *more: str, failpoints: str = "") -> Process:
+async def lead(run: KeeperRun, *more: str, failpoints: str = "") -> Process:
     return await run.controller("run", str(run.operator_path), "--json", *more, failpoints=failpoints)
 
 
@@ -158,7 +158,7 @@
         return await process.wait()
 
 
-async def status(run: KeptRun, name: str) -> m.Status | None:
+async def status(run: KeeperRun, name: str) -> m.Status | None:
     """Return a keeper's status over a direct connection, which bypasses the faults of its link."""
     keeper = run.keepers[name]
     try:
@@ -167,12 +167,12 @@
         return None
 
 
-async def statuses(run: KeptRun) -> dict[str, m.Status]:
+async def statuses(run: KeeperRun) -> dict[str, m.Status]:
     found = await asyncio.gather(*(status(run, name) for name in run.keepers))
     return {s.name: s for s in found if s is not None}
 
 
-async def settled(run: KeptRun, label: str) -> bool:
+async def settled(run: KeeperRun, label: str) -> bool:
     """Return whether all nodes are settled on a generation."""
     found = await statuses(run)
     goal = run.generations[label]
@@ -180,17 +180,17 @@
         s.running == s.present == goal and s.course == "settled" for s in found.values())
 
 
-def record(run: KeptRun) -> Record:
+def record(run: KeeperRun) -> Record:
     return Record(run.dir / "record.db")
 
 
-def change(run: KeptRun) -> Change:
+def change(run: KeeperRun) -> Change:
     found = record(run).latest()
     assert found is not None
     return found[0]
 
 
-def state(run: KeptRun) -> State | None:
+def state(run: KeeperRun) -> State | None:
     try:
         found = record(run).latest()
     except Exception:  # the record is being created
@@ -198,7 +198,7 @@
     return found[0].state if found else None
 
 
-def events(run: KeptRun, event: str, **fields: Any) -> dict[str, list[dict[str, Any]]]:
+def events(run: KeeperRun, event: str, **fields: Any) -> dict[str, list[dict[str, Any]]]:
     """Return the events of all keepers with these fields, by node."""
     return {
         name: [e for e in keeper.events() if e["event"] == event and all(e.get(k) == v for k, v in fields.items())]
@@ -206,22 +206,22 @@
     }
 
 
-def starts(run: KeptRun, label: str) -> dict[str, int]:
+def starts(run: KeeperRun, label: str) -> dict[str, int]:
     """Return how many processes of a generation each keeper has started."""
     found = events(run, "keeper.process_started", generation=run.generations[label])
     return {name: len(rows) for name, rows in found.items()}
 
 
-def steps_twice(run: KeptRun) -> list[tuple[str, int]]:
-    return kept_log.steps_twice(run.rows())
+def steps_applied_twice(run: KeeperRun) -> list[tuple[str, int]]:
+    return keeper_log.steps_applied_twice(run.rows())
 
 
-def unknown_steps(run: KeptRun, name: str) -> list[Step]:
+def unknown_steps(run: KeeperRun, name: str) -> list[Step]:
     """Return the steps of a change that have no outcome."""
     return [s for s in record(run).steps(name) if s.outcome is None]
 
 
-def renumbered(run: KeptRun, name: str) -> list[tuple[int, int]]:
+def renumbered(run: KeeperRun, name: str) -> list[tuple[int, int]]:
     """Return commands that had no answer and were sent again under another number.
 
     If the first one arrived late, it would count as a step of its own.
@@ -236,7 +236,7 @@
     return out
 
 
-def false_acknowledgements(run: KeptRun, name: str) -> list[int]:
+def false_acknowledgements(run: KeeperRun, name: str) -> list[int]:
     """Return steps that the record has as accepted although the keeper never accepted a command of that number."""
     rows = run.rows()
     taken = {(n, e["step"]) for n, found in rows.items() for e in found
@@ -244,17 +244,17 @@
     return [s.number for s in record(run).steps(name) if s.outcome == "ok" and (s.node, s.number) not in taken]
 
 
-def refused_as_old(run: KeptRun, since: int = 0) -> list[tuple[str, int]]:
+def refused_as_old(run: KeeperRun, since: int = 0) -> list[tuple[str, int]]:
     """Return commands from step ``since`` on that a keeper refused as old."""
     return [(n, e["step"]) for n, found in events(run, "keeper.command", verdict="old").items() for e in found
             if e["step"] >= since]
 
 
-def strangers_signalled(run: KeptRun) -> list[int]:
-    return kept_log.strangers_signalled(run.rows())
+def foreign_pids_signalled(run: KeeperRun) -> list[int]:
+    return keeper_log.foreign_pids_signalled(run.rows())
 
 
-def most_moving(run: KeptRun) -> tuple[int, int]:
+def most_moving(run: KeeperRun) -> tuple[int, int]:
     """Return the maximum number of nodes that were changing at once, in total and in one site."""
-    moments = run.most_on_way()
+    moments = run.max_in_transition()
     return max(n for n, _ in moments), max(n for _, n in moments)
--- a/tests/rollout/test_judged.py
+++ b/tests/rollout/test_judged.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from headspar.lab.kept import KeptRun
+from headspar.lab.keeper_run import KeeperRun
 from headspar.rollout.state import State
 from tests.rollout import runs
 from tests.rollout.runs import (
@@ -47,7 +47,7 @@
 
 
 def test_a_version_that_refuses_more_is_taken_back_from_its_first_stage(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", REFUSES)
         assert await ended(await start(run, folder, "c1")) == 1
         await until(lambda: settled(run, "old"))
@@ -75,7 +75,7 @@
 def test_a_version_that_harms_otherwise_is_taken_back_from_its_first_stage(
     tmp_path: Path, harm: Callable[[Path], None], margin: tuple[str, str], figure: str,
 ) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", harm)
         assert await ended(await start(run, folder, "c1")) == 1
         await until(lambda: settled(run, "old"))
@@ -89,7 +89,7 @@
 
 def test_a_site_that_dies_in_the_middle_is_not_held_against_a_harmless_version(tmp_path: Path) -> None:
     """All machines of a site are down for a while: the change pauses, names the site, and continues when resumed."""
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1")
         await until(lambda: state(run) is State.PROVING and change(run).stage == 1)
@@ -98,7 +98,7 @@
         dying = sorted(name for name, s in found.items() if s.site == site)
         for name in dying:
             run.keepers[name].kill()
-            await run.node(name).kill_node()
+            await run.node(name).kill_serving_process()
         await until(lambda: state(run) is State.PAUSED)
         assert change(run).why == f"site {site} is unreachable, old and new nodes alike"
         for name in dying:
@@ -113,16 +113,16 @@
     _, run = run_checked(script, tmp_path, nodes=6, seconds=75.0, rps=120.0, judge=WIDE)
     assert len(down) == 2 and change(run).state is State.DONE
     assert not any(k.kind == "take back" for k in record(run).looks("c1"))
-    assert runs.steps_twice(run) == []
+    assert runs.steps_applied_twice(run) == []
 
 
-async def _serve(run: KeptRun, names: list[str]) -> bool:
+async def _serve(run: KeeperRun, names: list[str]) -> bool:
     found = await statuses(run)
     return all(name in found and found[name].answers and found[name].running for name in names)
 
 
 def test_a_harmless_version_goes_on_though_the_controller_is_killed_while_it_looks(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         first = await start(run, folder, "c1")
         await until(lambda: state(run) is State.PROVING)
@@ -138,4 +138,4 @@
     assert {k.stage for k in looks if k.kind == "go on"} == set(range(len(change(run).stages)))
     assert not any(k.kind in ("take back", "pause") for k in looks)
     assert result.verdict.served >= 0.99 * result.verdict.taken
-    assert runs.steps_twice(run) == []
+    assert runs.steps_applied_twice(run) == []
--- a/tests/rollout/test_over_processes.py
+++ b/tests/rollout/test_over_processes.py
@@ -19,8 +19,8 @@
 from headspar.keeper import messages as m
 from headspar.keeper.core import Order
 from headspar.keeper.state import decode, encode
-from headspar.lab.kept import KeptRun
-from headspar.lab.links import CUT, DEAF, WELL, Fault
+from headspar.lab.keeper_run import KeeperRun
+from headspar.lab.links import DROP_ALL, DROP_ANSWERS, NO_FAULT, LinkFaults
 from headspar.rollout.controller import send
 from headspar.rollout.fleet import Member
 from headspar.rollout.state import State
@@ -29,6 +29,7 @@
     change,
     ended,
     events,
+    foreign_pids_signalled,
     lead,
     new_line,
     planted,
@@ -41,22 +42,21 @@
     state,
     status,
     statuses,
-    steps_twice,
-    strangers_signalled,
+    steps_applied_twice,
     unknown_steps,
     until,
 )
 
 
-def assert_clean(run: KeptRun, name: str = "c1") -> None:
+def assert_clean(run: KeeperRun, name: str = "c1") -> None:
     """Check what must hold after any change: no step twice, no step open, no foreign process signalled."""
-    assert steps_twice(run) == [] and strangers_signalled(run) == []
+    assert steps_applied_twice(run) == [] and foreign_pids_signalled(run) == []
     assert unknown_steps(run, name) == []
     assert runs.renumbered(run, name) == [] and runs.false_acknowledgements(run, name) == []
 
 
 def test_a_change_of_twelve_nodes_loses_nothing_and_keeps_the_limits(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         first = await start(run, folder, "c1")
         await until(lambda: state(run) not in (None, State.PLANNED))
@@ -87,7 +87,7 @@
 ) -> None:
     killed = []
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         rng = random.Random(7)
         folder = run.generation("new", new_line)
         begun = await start(run, folder, "c1", failpoints="rollout.moved=kill")
@@ -113,7 +113,7 @@
 
 def test_one_that_stands_by_and_has_lost_its_lease_leads_again_when_the_next_one_dies(tmp_path: Path) -> None:
     """Controllers that a busy machine stalled beyond their lease ended one by one, until the change had none left."""
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         assert await ended(await start(run, folder, "c1", failpoints="rollout.moved=kill")) == -signal.SIGKILL
         first = await lead(run, failpoints="rollout.sending=stop@2")
@@ -136,7 +136,7 @@
 
 
 def test_a_controller_that_slept_through_its_lease_has_every_word_refused(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         first = await start(run, folder, "c1", failpoints="rollout.sending=stop@8")
         await until(lambda: Path(f"/proc/{first.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
@@ -157,21 +157,21 @@
     assert set(starts(run, "new").values()) == {1}
 
 
-async def _heard(run: KeptRun, epoch: int) -> bool:
+async def _heard(run: KeeperRun, epoch: int) -> bool:
     found = await statuses(run)
     return len(found) == len(run.keepers) and all(s.epoch >= epoch for s in found.values())
 
 
 def test_words_lost_late_and_twice_and_a_third_of_the_keepers_cut_off(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         names = sorted(run.links)
-        bad = Fault(drop=0.1, lose=0.2, late=0.1, late_s=4.0, twice=0.9, reset=0.05, hang=0.02, words='"step"')
+        bad = LinkFaults(drop=0.1, lose=0.2, late=0.1, late_s=4.0, twice=0.9, reset=0.05, hang=0.02, words='"step"')
         for link in run.links.values():
             link.fault = bad
         folder = run.generation("new", new_line)
         first = await start(run, folder, "c1", "--stay")
         await until(lambda: state(run) is State.PROVING)
-        run.links[names[0]].fault, run.links[names[1]].fault = CUT, DEAF  # in the middle of a stage
+        run.links[names[0]].fault, run.links[names[1]].fault = DROP_ALL, DROP_ANSWERS  # in the middle of a stage
         await asyncio.sleep(1.0)
         asked = await run.controller("back", str(run.operator_path), "--yes")
         assert await ended(asked) == 0
@@ -181,7 +181,7 @@
         await until(lambda: state(run) is State.TAKEN_BACK)
         await until(lambda: settled(run, "old"))
         for link in run.links.values():
-            link.fault = WELL
+            link.fault = NO_FAULT
         await asyncio.sleep(4.2)  # delayed messages have arrived by now
         assert await settled(run, "old")
         first.terminate()
@@ -193,7 +193,7 @@
         assert {"lose", "twice"} <= counts.keys(), counts
 
     _, run = run_checked(script, tmp_path)
-    assert steps_twice(run) == [] and strangers_signalled(run) == []
+    assert steps_applied_twice(run) == [] and foreign_pids_signalled(run) == []
     assert runs.false_acknowledgements(run, "c1") == []
     assert change(run).state is State.TAKEN_BACK
 
@@ -212,7 +212,7 @@
 def test_generations_that_do_not_start_die_hang_or_accept_nothing_are_taken_back(tmp_path: Path) -> None:
     ends = {}
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         for name, what in (("no-start", NO_START), ("dies", DIES), ("mute", ACCEPTS_NOTHING),
                            ("turned-down", settings_with(try_limit="many"))):
             folder = run.generation(name, what)
@@ -227,13 +227,13 @@
     assert "died" in ends["dies"][1] and "did not start" in ends["turned-down"][1]
     for name in ends:
         assert sum(count > 0 for count in starts(run, name).values()) <= 1  # at most one node started it
-    assert strangers_signalled(run) == [] and steps_twice(run) == []
+    assert foreign_pids_signalled(run) == [] and steps_applied_twice(run) == []
 
 
 def test_one_that_is_deaf_to_sigterm_is_ended_by_force_and_settings_go_by_signal(tmp_path: Path) -> None:
     ends = {}
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         run.generation("turned-down", settings_with(try_limit="many"))
         folder = run.generation("deaf", IGNORES_SIGTERM)
         led = await start(run, folder, "deaf")
@@ -246,7 +246,7 @@
         first = change(run).stages[0][0]  # it tests that a process starts with them
         for name in run.nodes:  # and the others reload them on a signal
             started = run.generations["limits" if name == first else "old"]
-            assert (await run.node(name).who())["generation"] == started
+            assert (await run.node(name).identity())["generation"] == started
         assert await settled(run, "limits")
         # Settings that a running node rejects, sent under an epoch that the record does not know.
         member = Member("n1", "", ":".join(map(str, run.keepers["n1"].listen)))
@@ -264,11 +264,11 @@
     assert ends == {"deaf": 1, "limits": 0, "after": 0}
     killed = [row for rows in events(run, "keeper.signalled", signal="SIGKILL").values() for row in rows]
     assert killed  # the process that ignores SIGTERM
-    assert strangers_signalled(run) == [] and steps_twice(run) == []
+    assert foreign_pids_signalled(run) == [] and steps_applied_twice(run) == []
 
 
 def test_where_the_hand_over_can_not_be_had_nodes_are_drained_and_started(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", OTHER_HANDOVER_VERSION)
         assert await ended(await start(run, folder, "c1")) == 0
         assert await settled(run, "new")
@@ -281,12 +281,12 @@
     assert runs.most_moving(run)[1] == 1
 
 
-async def _turned_down(run: KeptRun) -> bool:
+async def _turned_down(run: KeeperRun) -> bool:
     found = await status(run, "n1")
     return found is not None and found.outcome is not None and "settings turned down" in found.outcome.reason
 
 
-def why(run: KeptRun, name: str) -> str:
+def why(run: KeeperRun, name: str) -> str:
     return "; ".join(move.why for move in record(run).moves(name) if move.why)
 
 
@@ -303,10 +303,10 @@
 def test_keepers_killed_at_each_of_their_steps_find_their_nodes_again(
     tmp_path: Path, what: Callable[[Path], None], points: list[str],
 ) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         names = sorted(run.keepers)
         died = set()
-        pids = {name: (await run.node(name).who())["pid"] for name in names}
+        pids = {name: (await run.node(name).identity())["pid"] for name in names}
         for name, point in zip(names, points, strict=True):
             run.keepers[name].kill()
             run.keepers[name].start(f"{point}=kill@{3 if 'state' in point or 'answer' in point else 1}")
@@ -322,7 +322,7 @@
         restarting = asyncio.create_task(restart())
         await until(lambda: _running(run, "old"))
         for name in names:  # killing the keeper does not affect its node
-            assert (await run.node(name).who())["pid"] == pids[name]
+            assert (await run.node(name).identity())["pid"] == pids[name]
         folder = run.generation("new", what)
         end = await ended(await start(run, folder, "c1"))
         restarting.cancel()
@@ -332,10 +332,10 @@
         assert len(died) >= 5, died
 
     _, run = run_checked(script, tmp_path, seconds=12.0)
-    assert steps_twice(run) == [] and strangers_signalled(run) == []
+    assert steps_applied_twice(run) == [] and foreign_pids_signalled(run) == []
 
 
-async def _running(run: KeptRun, label: str) -> bool:
+async def _running(run: KeeperRun, label: str) -> bool:
     found = await statuses(run)
     return len(found) == len(run.keepers) and all(s.running == run.generations[label] for s in found.values())
 
@@ -345,12 +345,12 @@
 ) -> None:
     stranger = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(300)"])
 
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         names = sorted(run.keepers)
         old = {name: (run.keepers[name].folder / "state").read_bytes() for name in names}
         folder = run.generation("new", new_line)
         assert await ended(await start(run, folder, "c1")) == 0
-        pids = {name: (await run.node(name).who())["pid"] for name in names}
+        pids = {name: (await run.node(name).identity())["pid"] for name in names}
         fences = {name: s.epoch for name, s in (await statuses(run)).items()}
         for name in names:
             run.keepers[name].kill()
@@ -369,7 +369,7 @@
             run.keepers[name].start()
         await until(lambda: _running(run, "new"))
         for name in names[:5]:
-            assert (await run.node(name).who())["pid"] == pids[name], name
+            assert (await run.node(name).identity())["pid"] == pids[name], name
         found = await statuses(run)
         assert all(s.epoch >= fences[name] for name, s in found.items())  # a fenced controller stays fenced
         assert found[names[3]].trial == run.generations["new"]  # unknown to the old state, so on trial
@@ -382,7 +382,7 @@
         shutil.rmtree(keeper.folder / "generations")
         keeper.start()
         await until(lambda: status(run, names[0]))
-        assert (await run.node(names[0]).who())["pid"] == pids[names[0]]
+        assert (await run.node(names[0]).identity())["pid"] == pids[names[0]]
         found_one = await status(run, names[0])
         assert found_one is not None and found_one.epoch >= fences[names[0]]
 
@@ -391,11 +391,11 @@
     finally:
         stranger.kill()
         stranger.wait()
-    assert strangers_signalled(run) == []
+    assert foreign_pids_signalled(run) == []
     assert any(row["pid"] == stranger.pid for rows in events(run, "keeper.not_ours").values() for row in rows)
 
 
-def _killed(run: KeptRun, name: str):  # type: ignore[no-untyped-def]
+def _killed(run: KeeperRun, name: str):  # type: ignore[no-untyped-def]
     from headspar.lab.children import now_us
     from headspar.world.records import RunEvent
 
@@ -403,7 +403,7 @@
 
 
 def test_a_disk_that_is_full_stops_the_change_and_no_node(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         names = sorted(run.keepers)
         folder = run.generation("new", new_line)
         # Disk of the record: the controller ends with an error, and no unrecorded step has been started.
@@ -415,7 +415,7 @@
         keeper.kill()
         keeper.start("keeper.state=ENOSPC@1+")
         await until(lambda: status(run, names[0]))
-        await run.node(names[0]).kill_node()
+        await run.node(names[0]).kill_serving_process()
         await until(lambda: _serves(run, names[0]))
         led = await lead(run, "--stay")
         await until(lambda: _refused(run, names[0]))
@@ -429,32 +429,32 @@
 
     _, run = run_checked(script, tmp_path, seconds=12.0, table=runs.TABLE + 'on_failure = "back"\n')
     assert "No space left" in run.controller_log.read_text()
-    assert strangers_signalled(run) == [] and steps_twice(run) == []
+    assert foreign_pids_signalled(run) == [] and steps_applied_twice(run) == []
 
 
-async def _serves(run: KeptRun, name: str) -> bool:
+async def _serves(run: KeeperRun, name: str) -> bool:
     found = await status(run, name)
     return found is not None and bool(found.running)
 
 
-def _refused(run: KeptRun, name: str) -> bool:
+def _refused(run: KeeperRun, name: str) -> bool:
     text = run.controller_log.read_text()
     return any("the state could not be written to disk" in line and f'"{name}"' in line for line in text.splitlines())
 
 
 def test_a_site_that_dies_in_a_stage_pauses_the_change_and_it_goes_on_when_told(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1", "--stay")
         await until(lambda: state(run) is State.PROVING and change(run).stage == 1)
         site = run.nodes[change(run).stages[0][0]].config["settings"]["az"]
         gone = [n for n, node in run.nodes.items() if node.config["settings"]["az"] == site]
         for name in gone:
-            run.links[name].fault = CUT
+            run.links[name].fault = DROP_ALL
         await until(lambda: state(run) is State.PAUSED)
         assert f"site {site} is unreachable" in change(run).why
         for name in gone:
-            run.links[name].fault = WELL
+            run.links[name].fault = NO_FAULT
         await ended(await run.controller("resume", str(run.operator_path)))
         await until(lambda: state(run) is State.DONE)
         assert await settled(run, "new")
@@ -470,7 +470,7 @@
 
     No step may be taken twice, and the site's machines must end up on the old generation.
     """
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1", "--stay")
         await until(lambda: state(run) is State.PROVING and change(run).stage == 1)
@@ -478,7 +478,7 @@
         gone = sorted(n for n, node in run.nodes.items() if node.config["settings"]["az"] == site)
         for name in gone:
             run.keepers[name].kill()
-            await run.node(name).kill_node()
+            await run.node(name).kill_serving_process()
         await until(lambda: state(run) in (State.PAUSED, State.BACK, State.TAKEN_BACK))
         if state(run) is State.PAUSED:
             await ended(await run.controller("back", str(run.operator_path), "--yes", "--json"))
@@ -507,19 +507,19 @@
         await ended(led)
 
     _, run = run_checked(script, tmp_path, seconds=14.0)
-    assert steps_twice(run) == [] and strangers_signalled(run) == []
+    assert steps_applied_twice(run) == [] and foreign_pids_signalled(run) == []
 
 
 def test_a_fleet_of_which_a_third_does_not_answer_is_not_begun_upon(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         for name in sorted(run.links)[:2]:
-            run.links[name].fault = CUT
+            run.links[name].fault = DROP_ALL
         folder = run.generation("new", new_line)
         assert await ended(await start(run, folder, "c1")) == 1
         assert state(run) is None
         # Without --yes nothing is done.
         for link in run.links.values():
-            link.fault = WELL
+            link.fault = NO_FAULT
         dry = await run.controller("start", str(run.operator_path), str(folder), "--name", "c1")
         assert await ended(dry) == 0 and state(run) is None
         shown = await run.controller("plan", str(run.operator_path), str(folder), "--json")
@@ -532,7 +532,7 @@
 
 
 def test_a_controller_that_never_comes_back_and_keepers_told_to_go_back(tmp_path: Path) -> None:
-    async def script(run: KeptRun) -> None:
+    async def script(run: KeeperRun) -> None:
         folder = run.generation("new", new_line)
         led = await start(run, folder, "c1")
         await until(lambda: _changed(run, 2))
@@ -546,6 +546,6 @@
     assert runs.most_moving(run)[1] == 1
 
 
-async def _changed(run: KeptRun, least: int) -> bool:
+async def _changed(run: KeeperRun, least: int) -> bool:
     found = await statuses(run)
     return sum(s.running == run.generations["new"] for s in found.values()) >= least
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -18,7 +18,7 @@
 from headspar.node.backend_subset import Reach
 from headspar.world.scenario import parse
 from tests.helpers import entry, full, settings
-from tests.lab.test_nodes_under_faults import judged
+from tests.lab.test_nodes_under_faults import audited_run
 
 S = 1_000_000
 
@@ -119,7 +119,7 @@
 
 
 def test_nodes_of_few_descriptors_serve_a_large_fleet_each_from_its_part(tmp_path: Path) -> None:
-    result = judged(parse(LARGE), tmp_path)
+    result = audited_run(parse(LARGE), tmp_path)
     v = result.verdict
     assert v.clean, (v.doubts, [x.line() for x in v.violations[:10]])
     assert v.served > 0.97 * v.taken > 1000
