--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -56,7 +56,8 @@
     result = simulate(parse(SCENARIO.format(name=name, length=length_s, nodes=NODES, fault=FAULTS[name])), seed)
     return {
         "served": result.service.whole, "tries": result.service.first_tries, "accepted": result.accepted,
-        "asked": result.asked, "cold": result.verdict.cold_peak_ratio, "broken": sum(result.verdict.kinds.values()),
+        "asked": result.discovery_calls, "cold": result.verdict.cold_peak_ratio,
+        "broken": sum(result.verdict.kinds.values()),
     }
 
 
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -30,7 +30,7 @@
 from headspar import decide
 from headspar.keeper.messages import Work
 from headspar.model.simulate import simulate
-from headspar.model.work import Becomes, Mixture, Version
+from headspar.model.work import Mixture, Version, VersionChange
 from headspar.rollout.change_judge import Judging
 from headspar.rollout.judge.judge import Judge
 from headspar.rollout.judge.types import JudgeSettings, Limits, Stage, VerdictKind
@@ -148,12 +148,12 @@
     with tempfile.TemporaryDirectory(prefix="headspar-mixed-") as folder:
         sites = [rng.sample(names, len(names)) for _, names in sorted(by_site(scenario, seed).items())]
         new = [sites[i % len(sites)][i // len(sites)] for i in range(changed)]
-        changes = [Becomes(BEFORE_S, n, "new") for n in new]
+        changes = [VersionChange(BEFORE_S, n, "new") for n in new]
         result = simulate(scenario, seed, mixture=Mixture({"new": planted_version(case, Path(folder))}, changes))
     reports: dict[int, list[Any]] = {}
-    for row in result.told:
+    for row in result.readings:
         reports.setdefault(round(row.at_s), []).append(row)
-    site_of = {row.node: row.site for row in result.told}
+    site_of = {row.node: row.site for row in result.readings}
     judging = Judging(JudgeSettings(True, BEFORE_S - 5.0, 1.0, case.limits), site_of, 0.0, None)
     judge: Judge | None = None
     verdict, at = None, 0.0
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -154,7 +154,7 @@
             s, _, whole = found
             p = predict("whole", [simulate(s, seed, costs=costs, noise=i).service.whole for i in range(MODEL_RUNS)])
             rows.append({"run": f"{name} {seed}", "lab": round(whole, 4), "low": round(p.low, 4),
-                         "high": round(p.high, 4), "holds": p.holds(whole)})
+                         "high": round(p.high, 4), "holds": p.contains(whole)})
             print(json.dumps(rows[-1]), file=sys.stderr, flush=True)
     widths = [100 * (r["high"] - r["low"]) for r in rows]
     return {"coverage": f"{sum(r['holds'] for r in rows)} of {len(rows)}", "interval_points": round(max(widths), 2),
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -40,8 +40,8 @@
     Send,
     Settings,
 )
-from headspar.model.kept import MODES
 from headspar.model.simulate import Tuning, simulate
+from headspar.model.snapshots import MODES
 from headspar.snapshot.expiry import Header
 from headspar.snapshot.format import encode
 from headspar.snapshot.store import Store
--- a/headspar/model/calibrate.py
+++ b/headspar/model/calibrate.py
@@ -131,7 +131,7 @@
     level: float
     runs: int
 
-    def holds(self, value: float) -> bool:
+    def contains(self, value: float) -> bool:
         return self.low <= value <= self.high
 
 
--- a/headspar/model/simulate.py
+++ b/headspar/model/simulate.py
@@ -15,14 +15,14 @@
 from headspar.handover import shares
 from headspar.handover.beliefs import Beliefs
 from headspar.interface import Settings
-from headspar.model import kept, references
+from headspar.model import references, snapshots
 from headspar.model.callers import Callers, Endpoint
 from headspar.model.costs import Costs, Delays
 from headspar.model.discovery import Discovery, Watcher
 from headspar.model.events import Events
 from headspar.model.node import PEER_DELAY_US, Node
 from headspar.model.servers import CashServer
-from headspar.model.work import MEMORY_MB, Becomes, Mixture, Reading, Work, load
+from headspar.model.work import MEMORY_MB, Mixture, Reading, VersionChange, Work, load
 from headspar.operator_file import Connections as ConnectionsTable
 from headspar.operator_file import OperatorError
 from headspar.settings import read_settings
@@ -51,7 +51,7 @@
     settings: dict[str, Any] = {}
     connections: dict[str, Any] = {}
     policy: str = ""  # a reference policy of ``references.NAMES`` that replaces the decision module
-    keeps: str = ""  # the snapshot that killed nodes restore, one of ``kept.MODES``; none if empty
+    keeps: str = ""  # the snapshot that killed nodes restore, one of ``snapshots.MODES``; none if empty
 
 
 class TuningError(ValueError):
@@ -66,9 +66,9 @@
     service: Service
     events: int
     accepted: int  # connections to servers
-    asked: int  # calls to discovery
+    discovery_calls: int  # calls to discovery
     plan_digest: str
-    told: list[Reading] = []  # the samples of a mixture
+    readings: list[Reading] = []  # the samples of a mixture
 
     def digest(self) -> str:
         """Returns the SHA-256 of all records, which is equal for identical runs."""
@@ -122,8 +122,8 @@
         if tuning.policy not in ("", *references.NAMES):
             raise TuningError(f"policy: {tuning.policy!r} is not one of {', '.join(references.NAMES)}")
         self.policy = tuning.policy
-        if tuning.keeps not in ("", *kept.MODES):
-            raise TuningError(f"keeps: {tuning.keeps!r} is not one of {', '.join(kept.MODES)}")
+        if tuning.keeps not in ("", *snapshots.MODES):
+            raise TuningError(f"keeps: {tuning.keeps!r} is not one of {', '.join(snapshots.MODES)}")
         self.snapshots: dict[str, tuple[int, Beliefs]] = {}  # time of the kill and learned state, by node
         self.late_view: dict[str, float] = {}  # expected wait at each server as the policy ``late`` sees it, us
         self.mean_us = sum(c.work_us for c in self.plan.calls) / max(1, len(self.plan.calls))
@@ -178,7 +178,7 @@
         v, base = self.mixture.versions[version], self.tuning
         return Tuning(base.settings | v.settings, base.connections | v.connections, base.policy, base.keeps)
 
-    def _change_version(self, change: Becomes) -> None:
+    def _change_version(self, change: VersionChange) -> None:
         """Replaces a node's process with one of another version."""
         endpoint = self.endpoints[change.node]
         i = list(self.endpoints).index(change.node)
@@ -246,10 +246,10 @@
     def _restore_snapshot(self, endpoint: Endpoint[Node], node: Node) -> None:
         """Restores the snapshot of a node that starts after a kill, as far as it is accepted."""
         names, mode = list(self.endpoints), self.tuning.keeps
-        of = names[(names.index(endpoint.name) + 1) % len(names)] if mode == kept.OTHER else endpoint.name
+        of = names[(names.index(endpoint.name) + 1) % len(names)] if mode == snapshots.OTHER else endpoint.name
         if of in self.snapshots:
             at, beliefs = self.snapshots[of]
-            accepted = kept.accepted_part(mode, beliefs, of, at, endpoint.name, node.settings, self.events.now)
+            accepted = snapshots.accepted_part(mode, beliefs, of, at, endpoint.name, node.settings, self.events.now)
             node.restore(accepted.beliefs)
 
     def _update_late_view(self, before: dict[str, float]) -> None:
--- a/headspar/model/work.py
+++ b/headspar/model/work.py
@@ -35,7 +35,7 @@
     later: float = 0.0  # added delay of successful answers, as a share of their latency
 
 
-class Becomes(msgspec.Struct, frozen=True):
+class VersionChange(msgspec.Struct, frozen=True):
     """At ``at_s`` of the run, restarts a node with a version or hands it over to a new process of that version."""
 
     at_s: float
@@ -50,7 +50,7 @@
     All nodes start with the run's own version, whose name is empty.  Counters are sampled every ``every_s``."""
 
     versions: dict[str, Version] = {}
-    changes: list[Becomes] = []
+    changes: list[VersionChange] = []
     every_s: float = 1.0
 
 
--- a/tests/model/test_calibrate.py
+++ b/tests/model/test_calibrate.py
@@ -59,7 +59,7 @@
 
 def test_a_prediction_holds_one_more_run_as_often_as_it_says() -> None:
     draws = np.random.Generator(np.random.Philox(5)).normal(0.8, 0.02, (400, 9))
-    contained = sum(predict("whole", list(row[:8]), own_error=0.0).holds(row[8]) for row in draws) / 400
+    contained = sum(predict("whole", list(row[:8]), own_error=0.0).contains(row[8]) for row in draws) / 400
     assert contained == pytest.approx(0.9, abs=0.04)
     with pytest.raises(CalibrationError, match="three runs"):
         predict("whole", [0.8, 0.9])
--- a/tests/model/test_mixture.py
+++ b/tests/model/test_mixture.py
@@ -9,7 +9,7 @@
 
 from headspar import decide
 from headspar.model.simulate import TuningError, simulate
-from headspar.model.work import Becomes, Mixture, Reading, Version
+from headspar.model.work import Mixture, Reading, Version, VersionChange
 from headspar.world.scenario import Fault, Load, Nodes, Scenario, Servers, check
 
 ARRIVED = "        self.capacity.offered_work += cost\n        a = self.admission\n"
@@ -45,10 +45,11 @@
 def test_a_run_of_one_version_is_the_same_with_and_without_readings() -> None:
     s = scenario()
     plain, read = simulate(s, 1), simulate(s, 1, mixture=Mixture())
-    assert plain.digest() == read.digest() and not plain.told
-    by_node = rows(read.told)
+    assert plain.digest() == read.digest() and not plain.readings
+    by_node = rows(read.readings)
     assert len(by_node) == 6 and all(len(r) >= 24 for r in by_node.values())
-    assert {r.site for r in read.told} == {"site-a", "site-b", "site-c"} and {r.version for r in read.told} == {""}
+    assert {r.site for r in read.readings} == {"site-a", "site-b", "site-c"}
+    assert {r.version for r in read.readings} == {""}
     taken = sum(r[-1].counts["taken"] for r in by_node.values())
     assert 0 <= read.verdict.taken - taken < 20  # answered after the last sample
     for r in by_node.values():
@@ -63,10 +64,10 @@
 def test_nodes_decide_by_their_own_version_from_their_change_on(tmp_path: Path, way: str) -> None:
     refuses = planted(tmp_path, ARRIVED, ARRIVED + "        if self.rng.random() < 0.3:\n            "
                       "self.actions.append(Refuse(e.id, 0))\n            return\n")
-    changes = [Becomes(6.0, n, "new", way) for n in ("n1", "n4")]  # type: ignore[arg-type]
+    changes = [VersionChange(6.0, n, "new", way) for n in ("n1", "n4")]  # type: ignore[arg-type]
     result = simulate(scenario(), 2, mixture=Mixture({"new": refuses}, changes))
     assert not any(result.verdict.counts.values())
-    for name, samples in rows(result.told).items():
+    for name, samples in rows(result.readings).items():
         c = since(samples, 8.0)
         new = name in ("n1", "n4")
         assert (0.2 < c["refused"] / c["taken"] < 0.4) == new, name
@@ -78,10 +79,10 @@
 
 
 def test_settings_and_answers_that_leave_later_are_a_versions_too() -> None:
-    changes = [Becomes(4.0, "n3", "late"), Becomes(4.0, "n1", "shakes")]
+    changes = [VersionChange(4.0, "n3", "late"), VersionChange(4.0, "n1", "shakes")]
     versions = {"late": Version(later=0.5, leak_mb_min=6.0), "shakes": Version(connections={"age_s": 0.2})}
     result = simulate(scenario(), 3, mixture=Mixture(versions, changes))
-    by_node = rows(result.told)
+    by_node = rows(result.readings)
     pace = {n: (c := since(r, 6.0))["quarters"] / c["served"] for n, r in by_node.items()}
     assert pace["n3"] > max(v for n, v in pace.items() if n != "n3") + 1.0
     assert by_node["n3"][-1].gauges["memory_mb"] > by_node["n2"][-1].gauges["memory_mb"] + 1.0
@@ -93,15 +94,15 @@
     ignoring = planted(tmp_path, "        self.usable = entry.reachable and not self.drained\n",
                        "        self.usable = entry.reachable\n")
     drain = Fault(at_s=8.0, kind="drain", servers=2, linger_s=10.0, back_s=2.0)
-    result = simulate(scenario((drain,)), 4, mixture=Mixture({"new": ignoring}, [Becomes(3.0, "n2", "new")]))
-    broken = {n: r[-1].counts["broken"] for n, r in rows(result.told).items()}
+    result = simulate(scenario((drain,)), 4, mixture=Mixture({"new": ignoring}, [VersionChange(3.0, "n2", "new")]))
+    broken = {n: r[-1].counts["broken"] for n, r in rows(result.readings).items()}
     assert broken.pop("n2") > 0 and not any(broken.values())
     assert sum(result.verdict.counts.values()) > 0  # the audit finds it too
 
 
 @pytest.mark.parametrize(("mixture", "text"), [
-    (Mixture({}, [Becomes(1.0, "n3", "other")]), "there is no such version"),
-    (Mixture({}, [Becomes(1.0, "n99", "")]), "there is no such node"),
+    (Mixture({}, [VersionChange(1.0, "n3", "other")]), "there is no such version"),
+    (Mixture({}, [VersionChange(1.0, "n99", "")]), "there is no such node"),
     (Mixture({"x": Version(settings={"nothing": 1})}), "there is no such setting"),
     (Mixture({"x": Version(connections={"nothing": 1})}), "connections"),
     (Mixture({"x": Version(program="/nowhere/decide.py")}), "program"),
--- a/tests/model/test_overbooked.py
+++ b/tests/model/test_overbooked.py
@@ -47,7 +47,7 @@
     each gets an answer every 5 s at best, and the audit counts a drain as known 6 s after discovery learned of it."""
     result = run(nodes, calls, seed)
     assert not result.verdict.kinds, result.verdict.violations[:5]
-    assert result.asked > 14 * calls, "discovery had more calls than it can answer"
+    assert result.discovery_calls > 14 * calls, "discovery had more calls than it can answer"
 
 
 def test_without_peers_a_hundred_nodes_cannot_keep_them() -> None:
--- a/tests/model/test_kept.py
+++ b/tests/model/test_snapshots.py
@@ -5,8 +5,8 @@
 import pytest
 
 from headspar.handover.beliefs import Beliefs
-from headspar.model.kept import LYING, MODES, OTHER, accepted_part, invert
 from headspar.model.simulate import Result, Tuning, TuningError, simulate
+from headspar.model.snapshots import LYING, MODES, OTHER, accepted_part, invert
 from headspar.snapshot.expiry import Origin
 from headspar.world.scenario import Fault, Load, Nodes, Scenario, Servers, check
 from tests.handover.test_beliefs import learned
