--- a/benchmarks/planted.py
+++ b/benchmarks/fault_injection.py
@@ -1,7 +1,7 @@
 """Faults planted in keepers and changes: checks that the test of each hard case over processes catches them.
 
-    python -m benchmarks.planted --json          # about ten minutes
-    python -m benchmarks.planted --only fence
+    python -m benchmarks.fault_injection --json          # about ten minutes
+    python -m benchmarks.fault_injection --only fence
 
 Each fault is a change of text in a copy of the tree, in which the test that should fail is run.  First each of these
 tests is run in an unchanged copy, and must pass.
--- a/benchmarks/mixed.py
+++ b/benchmarks/judge_in_model.py
@@ -1,4 +1,4 @@
-"""``python -m benchmarks.mixed [--json] [--draws N]``: the judge over mixed fleets in the model, drawn by seed.
+"""``python -m benchmarks.judge_in_model [--json] [--draws N]``: the judge over mixed fleets in the model, drawn by seed.
 
 Real decisions in simulated time: nodes in three sites before servers of their own sites, with little and uneven
 traffic.  After the baseline period some nodes (``--changed``), alternating between the sites, are restarted with
--- a/benchmarks/comeback.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
 """Recovery after mass failures: time to full service, thundering herds and stale decisions, in the lab and the model.
 
-    python -m benchmarks.comeback --json                       # ten seeds: about half an hour
-    python -m benchmarks.comeback --seeds 3 --model-seeds 3    # a short run: ten minutes
-    python -m benchmarks.comeback --seeds 0                    # the model alone
+    python -m benchmarks.recovery --json                       # ten seeds: about half an hour
+    python -m benchmarks.recovery --seeds 3 --model-seeds 3    # a short run: ten minutes
+    python -m benchmarks.recovery --seeds 0                    # the model alone
 
 The lab runs 24 nodes as processes before 18 stub servers, the model 200 nodes; each draw is played without and with
 the mass failure.  A lab run whose verdict is not valid is repeated once and then left out (counted as ``invalid``).
--- a/tests/comeback/test_hard_cases.py
+++ b/tests/comeback/test_hard_cases.py
@@ -1,7 +1,7 @@
 """Tests of the recovery from mass failures with 24 real nodes and faults of the environment.
 
 Each run must reach nearly full service again within the run, violate no rule of the audit and make no stale decision.
-``benchmarks.comeback`` measures the recovery time.
+``benchmarks.recovery`` measures the recovery time.
 """
 
 from __future__ import annotations
