--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -33,7 +33,7 @@
 from benchmarks.rig import Rig, Stream, progress, write_line
 from headspar.lab.nodes import NodeProcess
 from headspar.lab.run import run_scenario
-from headspar.world.records import End
+from headspar.world.records import ClientOutcome
 from headspar.world.scenario import parse
 
 SOCKETS = 384
@@ -106,11 +106,11 @@
     for i in range(UPGRADES):
         print(f"\rupgrade {i + 1} of {UPGRADES}", end="", file=sys.stderr)
         await asyncio.sleep(0.4)
-        old_process = await node.beside(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
+        old_process = await node.start_new_process(node.config["known"], rig.discovery.sockets[0].getsockname()[:2])
         pids.append(node.process.pid)
-        if not await node.says_yes(20):
+        if not await node.wait_ops_ready(20):
             raise RuntimeError("the new process did not become ready within 20 s")
-        node.end_first(old_process)
+        node.terminate_old_process(old_process)
         await old_process.wait()
         pids.remove(old_process.pid)
     await running
@@ -231,7 +231,7 @@
     upgraded_at = max(m.at for m in result.recording.marks if m.what == "node_term" and m.at < during)
     attempts = [a for a in result.recording.asks
                 if a.attempt == 0 and upgraded_at <= a.sent_at < upgraded_at + 5_000_000]
-    return sum(a.end is End.ANSWER and a.status == 200 for a in attempts) / max(1, len(attempts))
+    return sum(a.end is ClientOutcome.ANSWER and a.status == 200 for a in attempts) / max(1, len(attempts))
 
 
 def main() -> int:
--- a/headspar/lab/nodes.py
+++ b/headspar/lab/nodes.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from headspar.lab.children import die_with_parent, now_us, package_env
-from headspar.world.records import Mark
+from headspar.world.records import RunEvent
 
 Address = tuple[str, int]
 CALL_S = 20.0  # time-out of a request to a node's operator interface
@@ -39,12 +39,12 @@
 
     def __init__(self, listens: list[Address], host: str, rng: random.Random) -> None:
         self.listens, self.host, self.rng = listens, host, rng
-        self.lost = 0.0  # share of datagrams to drop
-        self.deaf: set[int] = set()  # nodes that receive nothing but can still send
+        self.loss_share = 0.0  # share of datagrams to drop
+        self.receive_blocked: set[int] = set()  # nodes that receive nothing but can still send
         self.number = {address: i for i, address in enumerate(listens)}
         self.relays: list[_Relay] = []
         self.addresses: list[Address] = []
-        self.carried = 0
+        self.datagrams_relayed = 0
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -65,8 +65,8 @@
             return
         targets = range(len(self.listens)) if to >= len(self.listens) else (to,)
         for i in targets:
-            if i != number and i not in self.deaf and self.rng.random() >= self.lost:
-                self.carried += 1
+            if i != number and i not in self.receive_blocked and self.rng.random() >= self.loss_share:
+                self.datagrams_relayed += 1
                 source.sendto(data, self.listens[i])
 
     def close(self) -> None:
@@ -84,8 +84,8 @@
         self.log = dir / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
         self.exit_watcher: asyncio.Task[None] | None = None
-        self.other_exit_watchers: list[asyncio.Task[None]] = []  # of processes started by ``beside``
-        self.marks: list[Mark] = []
+        self.other_exit_watchers: list[asyncio.Task[None]] = []  # of processes started by ``start_new_process``
+        self.marks: list[RunEvent] = []
         self.command = [sys.executable, "-m", "headspar"]
         self.operator: Path | None = None  # path of the operator's settings file
         self.stopped = False  # suspended by SIGSTOP
@@ -101,7 +101,7 @@
     async def start(self, known: dict[str, Any], discovery: Address) -> None:
         self.tmp.mkdir(exist_ok=True)
         self.process = await self._spawn(known, discovery)
-        self.marks.append(Mark(now_us(), "node_start", self.name))
+        self.marks.append(RunEvent(now_us(), "node_start", self.name))
         self.exit_watcher = asyncio.create_task(self._watch(self.process))
 
     async def _spawn(self, known: dict[str, Any], discovery: Address) -> asyncio.subprocess.Process:
@@ -122,7 +122,7 @@
 
     # ------------------------------------------------------------ operators' actions
 
-    async def beside(self, known: dict[str, Any], discovery: Address) -> asyncio.subprocess.Process:
+    async def start_new_process(self, known: dict[str, Any], discovery: Address) -> asyncio.subprocess.Process:
         """Starts a new process of the node, which replaces the old one here; returns the old one.
 
         The new process has its own address for operators.
@@ -131,13 +131,13 @@
         assert first is not None
         self.ops = free_address(self.listen[0], self.listen, self.ops)
         self.process = await self._spawn(known, discovery)
-        self.marks.append(Mark(now_us(), "node_upgrade", self.name))
+        self.marks.append(RunEvent(now_us(), "node_upgrade", self.name))
         self.other_exit_watchers.append(asyncio.create_task(self._watch(self.process)))
         return first
 
-    def end_first(self, first: asyncio.subprocess.Process) -> None:
+    def terminate_old_process(self, first: asyncio.subprocess.Process) -> None:
         """Sends SIGTERM to an old process that a new one has replaced."""
-        self.marks.append(Mark(now_us(), "node_term", self.name))
+        self.marks.append(RunEvent(now_us(), "node_term", self.name))
         with contextlib.suppress(ProcessLookupError):
             first.send_signal(signal.SIGTERM)
 
@@ -152,7 +152,7 @@
             writer.close()
         return int(head.split()[1]), json.loads(body)
 
-    async def says_yes(self, seconds: float) -> bool:
+    async def wait_ops_ready(self, seconds: float) -> bool:
         """Waits up to ``seconds`` for the operators' health check to answer 200; returns whether it did."""
         end = now_us() + int(seconds * 1e6)
         while now_us() < end and (self.process is None or self.process.returncode is None):
@@ -171,7 +171,7 @@
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
-        self.marks.append(Mark(now_us(), "node_exit", self.name, f"ended with status {status}"))
+        self.marks.append(RunEvent(now_us(), "node_exit", self.name, f"ended with status {status}"))
 
     async def ready(self, seconds: float) -> bool:
         """Waits up to ``seconds`` for ``/healthz`` to answer 200; returns False also if the process exits."""
@@ -193,7 +193,7 @@
     def signal(self, number: signal.Signals, what: str) -> None:
         """Sends a signal to the process if it runs, and marks it as ``what``."""
         if self.process is not None and self.process.returncode is None:
-            self.marks.append(Mark(now_us(), what, self.name))
+            self.marks.append(RunEvent(now_us(), what, self.name))
             self.process.send_signal(number)
             if number in (signal.SIGSTOP, signal.SIGCONT):
                 self.stopped = number == signal.SIGSTOP
--- a/tests/lab/test_nodes_under_faults.py
+++ b/tests/lab/test_nodes_under_faults.py
@@ -19,9 +19,9 @@
 from headspar.lab.nodes import free_address
 from headspar.lab.run import Result, RunError, run_scenario
 from headspar.world.audit import effects_per_key
-from headspar.world.records import End, Fate
+from headspar.world.records import AttemptResult, ClientOutcome
 from headspar.world.scenario import Scenario, parse
-from tests.counts import ends, fates, marks
+from tests.counts import ends, marks, outcomes
 from tests.loopback import ROOT, wait_for
 
 FOLDER = ROOT / "headspar" / "lab" / "scenarios"
@@ -33,7 +33,7 @@
 STALL_MS = 100.0
 
 
-def judged(s: Scenario, dir: Path, seed: int = 1) -> Result:
+def audited_run(s: Scenario, dir: Path, seed: int = 1) -> Result:
     """Repeats a run up to three times until it is valid, as a busy machine can make the lab late.
 
     The limits on lateness and answer time are relaxed to allow for such lateness and for stalls.
@@ -68,8 +68,10 @@
 
 # For each scenario, a check that its faults really occurred.
 FAULTS_OCCURRED: dict[str, Callable[[Result], bool]] = {
-    "deaths": lambda r: fates(r)[Fate.DIED] > 0 and len(r.recording.starts) == 2 and unreachable_while_vanished(r),
-    "broken-answers": lambda r: fates(r)[Fate.DIED] > 10 and fates(r)[Fate.SPOILT] > 5 and fates(r)[Fate.HUNG] > 0,
+    "deaths": lambda r: outcomes(r)[AttemptResult.DIED] > 0 and len(r.recording.starts) == 2
+    and unreachable_while_vanished(r),
+    "broken-answers": lambda r: outcomes(r)[AttemptResult.DIED] > 10 and outcomes(r)[AttemptResult.CORRUPTED] > 5
+    and outcomes(r)[AttemptResult.HUNG] > 0,
     "drains": lambda r: sum(t.state == "draining" and not t.presumed for t in r.recording.told) >= 3
     and marks(r)["discovery_gone"] == 1,
     "restarts": lambda r: marks(r)["node_start"] == 5 and marks(r)["node_kill"] == 1 and marks(r)["node_hup"] == 5,
@@ -77,7 +79,8 @@
     and r.verdict.served == r.verdict.taken,
     "herd": lambda r: marks(r)["node_kill"] == 8 and marks(r)["node_start"] == 18 and recovers_without_herd(r),
     "frozen": lambda r: marks(r)["node_stop"] == marks(r)["node_cont"] == 5 and r.verdict.excused > 50,
-    "flood": lambda r: fates(r)[Fate.TURNED_AWAY] > 0 and r.verdict.refused > 50 and ends(r)[End.LEFT] > 0,
+    "flood": lambda r: outcomes(r)[AttemptResult.REJECTED] > 0 and r.verdict.refused > 50
+    and ends(r)[ClientOutcome.LEFT] > 0,
     "growth": lambda r: len(r.recording.starts) == 14 and r.verdict.cold_peak_ratio > 0.01,
     "returns": lambda r: len(r.recording.starts) == 7 and r.verdict.cold_peak_ratio > 0.01,
 }
@@ -85,10 +88,10 @@
 
 @pytest.mark.parametrize("name", sorted(FAULTS_OCCURRED))
 def test_the_rules_hold_under(name: str, tmp_path: Path) -> None:
-    result = judged(parse((FOLDER / f"{name}.toml").read_text()), tmp_path)
+    result = audited_run(parse((FOLDER / f"{name}.toml").read_text()), tmp_path)
     v = result.verdict
     assert v.clean, (v.doubts, [x.line() for x in v.violations[:10]])
-    assert FAULTS_OCCURRED[name](result), (fates(result), ends(result), marks(result))
+    assert FAULTS_OCCURRED[name](result), (outcomes(result), ends(result), marks(result))
     assert v.served > 0.3 * v.taken > 100
     if name not in ("restarts", "herd", "frozen"):
         assert v.excused == 0
@@ -97,12 +100,12 @@
         if marks(result)["node_start"] == len(figures) and name != "upgrades":
             ended = Counter(k for f in figures for row in f["replies"].values() for k in row for _ in range(row[k]))
             assert ended["success"] >= v.served and sum(f["concurrent"] for f in figures) == 0
-            abandoned = sum(a.end is End.LEFT for a in result.recording.asks)
+            abandoned = sum(a.end is ClientOutcome.LEFT for a in result.recording.asks)
             assert abs(ended["success"] - v.served) <= abandoned and abs(ended["overload"] - v.refused) <= abandoned
             # Requests rejected as malformed were never taken; an answer that was cut short may count or not.
             asks = result.recording.asks
-            counted = sum(a.end is End.ANSWER and a.status not in (400, 405, 408, 413, 431) for a in asks)
-            assert abs(sum(ended.values()) - counted) <= abandoned + sum(a.end is End.CUT for a in asks), (
+            counted = sum(a.end is ClientOutcome.ANSWER and a.status not in (400, 405, 408, 413, 431) for a in asks)
+            assert abs(sum(ended.values()) - counted) <= abandoned + sum(a.end is ClientOutcome.CUT for a in asks), (
                 Counter((a.end, a.status) for a in asks), figures)
             attempts = len(result.recording.sent)
             assert abs(sum(f["dispatches"] for f in figures) - attempts) <= 3 + 0.02 * attempts
@@ -110,7 +113,7 @@
 
 def test_of_five_thousand_payments_none_goes_over_a_connection_dropped_in_silence(tmp_path: Path) -> None:
     """Each payment is served, with one effect, although lookups do hit dropped connections."""
-    result = judged(parse((FOLDER / "silent-closes.toml").read_text()), tmp_path)
+    result = audited_run(parse((FOLDER / "silent-closes.toml").read_text()), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
     rules = result.recording.rules
     keyed = {c.name for c in rules.classes if c.effect == "dedup"}
@@ -124,7 +127,7 @@
 
 
 def test_a_calm_run_serves_everything_and_each_payment_once(tmp_path: Path) -> None:
-    result = judged(parse(CALM), tmp_path)
+    result = audited_run(parse(CALM), tmp_path)
     assert result.verdict.clean and result.verdict.served == result.verdict.taken > 60
     assert result.service.whole == 1.0
     effects = effects_per_key(result.recording)
@@ -134,7 +137,7 @@
 def test_a_pushed_list_is_followed_too(tmp_path: Path) -> None:
     text = CALM + '[discovery]\nmode = "pushed"\nnotice_s = [0.1, 0.2]\n' \
         '[[faults]]\nat_s = 0.5\nkind = "drain"\nservers = 3\nlinger_s = 9\n'
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean
     notified = [t for t in result.recording.told if t.state == "draining" and not t.presumed]
     assert len(notified) == 3
@@ -142,7 +145,7 @@
 
 def test_a_discovery_that_cannot_keep_up_loses_nothing(tmp_path: Path) -> None:
     text = CALM.replace("count = 1", "count = 4") + "[discovery]\ncalls_per_s = 2\ntimeout_ms = 300\n"
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean and result.verdict.served == result.verdict.taken
     logs = "".join(f.read_text() for f in tmp_path.glob("*/n?.log"))
     assert "status 503" in logs
@@ -155,8 +158,8 @@
 
 
 def test_the_ledger_tells_when_a_request_began(tmp_path: Path) -> None:
-    result = judged(parse(CALM), tmp_path)
-    rows = [s for s in result.recording.sent if s.fate is Fate.DONE]
+    result = audited_run(parse(CALM), tmp_path)
+    rows = [s for s in result.recording.sent if s.fate is AttemptResult.DONE]
     assert rows and all(s.arrived_at <= s.began_at < s.ended_at for s in rows)
 
 
@@ -175,14 +178,14 @@
 servers = 9
 for_s = 5
 '''
-    result = judged(parse(text.replace("rps = 30", "rps = 8")), tmp_path)
+    result = audited_run(parse(text.replace("rps = 30", "rps = 8")), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
-    assert fates(result)[Fate.SPOILT] > 0 and marks(result)["stale"] > 0
+    assert outcomes(result)[AttemptResult.CORRUPTED] > 0 and marks(result)["stale"] > 0
 
 
 def test_connections_that_are_dropped_silently_are_met(tmp_path: Path) -> None:
     text = CALM.replace("3\n", "4\n", 1) + '[[servers]]\nidle_s = 0.4\nidle_close = "silent"\n'
-    result = judged(parse(text), tmp_path)
+    result = audited_run(parse(text), tmp_path)
     assert result.verdict.clean, result.verdict.kinds
 
 
