--- a/tests/rollout/runs.py
+++ b/tests/rollout/runs.py
@@ -102,7 +102,7 @@
 
 def new_line(folder: Path) -> None:
     """Make a harmless change of the program."""
-    path = folder / "program" / "headspar" / "reasons.py"
+    path = folder / "program" / "headspar" / "reason_phrases.py"
     path.write_text(path.read_text() + "# another version\n")
 
 
